--- a/admit.c
+++ b/admit.c
@@ -63,7 +63,7 @@
 void
 admit_init (struct admit *a)
 {
-  *a = (struct admit){ .keep = SHARE_ALL };
+  *a = (struct admit){ .permille = CQ_PERMILLE };
 }
 
 /* --- the share that is let in ----------------------------------------- */
@@ -74,9 +74,9 @@
 static int64_t
 believed (const struct admit *a, int64_t mean)
 {
-  bool few = a->answers < DOUBT && a->pressure < SHARE_ALL;
+  bool few = a->answers < DOUBT && a->pressure < CQ_PERMILLE;
 
-  return few ? MIN (mean, a->last_mean) : mean;
+  return few ? MIN (mean, a->prev_pressure) : mean;
 }
 
 static void
@@ -85,15 +85,15 @@
   int64_t seen = a->pressure_sum / a->answers;
   int64_t mean = believed (a, seen);
   int64_t move
-      = GAIN_LEVEL * (SHARE_ALL - mean) - GAIN_SLOPE * (mean - a->pressure);
-  int64_t share = MAX (a->keep, SHARE_LEAST);
+      = GAIN_LEVEL * (CQ_PERMILLE - mean) - GAIN_SLOPE * (mean - a->pressure);
+  int64_t share = MAX (a->permille, SHARE_LEAST);
 
   if (move > 0)
     share = MIN (share, SHARE_UP);
-  move = move * share / SHARE_UP / SHARE_ALL;
+  move = move * share / SHARE_UP / CQ_PERMILLE;
   move = move * a->answers / (a->answers + DOUBT);
-  a->keep = (int)CLAMP (a->keep + move, KEEP_MIN, SHARE_ALL);
-  a->last_mean = seen;
+  a->permille = (int)CLAMP (a->permille + move, KEEP_MIN, CQ_PERMILLE);
+  a->prev_pressure = seen;
   a->pressure += (mean - a->pressure) * a->answers / (a->answers + DOUBT);
 }
 
@@ -109,30 +109,31 @@
    others would not have made the answer any earlier: then it is half of the
    aim at the most, and the share rises. */
 static int64_t
-pressure_of (const struct admit_seen *seen)
+pressure_of (const struct admit_sample *seen)
 {
   int64_t queue, wait = 0;
 
   if (seen->target_us > 0)
-    wait = seen->wait_us * SHARE_ALL / seen->target_us;
+    wait = seen->wait_us * CQ_PERMILLE / seen->target_us;
   if (seen->running < 0)
     return wait;
   if (seen->waiting == 0)
-    return MIN (wait, SHARE_ALL) / 2;
-  queue = (int64_t)seen->waiting * SHARE_ALL / MAX (seen->running, 1);
-  return MAX (wait, queue * SHARE_ALL / QUEUE_AIM);
+    return MIN (wait, CQ_PERMILLE) / 2;
+  queue = (int64_t)seen->waiting * CQ_PERMILLE / MAX (seen->running, 1);
+  return MAX (wait, queue * CQ_PERMILLE / QUEUE_AIM);
 }
 
 void
-admit_answered (struct admit *a, const struct admit_seen *seen, int64_t now_us)
+admit_add_sample (struct admit *a, const struct admit_sample *seen,
+                  int64_t now_us)
 {
-  if (now_us - a->seen_us > SILENT_US)
+  if (now_us - a->answered_us > SILENT_US)
     {
-      a->keep = SHARE_ALL;
+      a->permille = CQ_PERMILLE;
       a->pressure = 0;
       begin_step (a, now_us);
     }
-  a->seen_us = now_us;
+  a->answered_us = now_us;
   a->answers++;
   a->pressure_sum += MIN (pressure_of (seen), PRESSURE_MAX);
   if (now_us - a->step_us < STEP_US)
@@ -142,9 +143,9 @@
 }
 
 int
-admit_keep (const struct admit *a, int64_t now_us)
+admit_permille (const struct admit *a, int64_t now_us)
 {
-  return now_us - a->seen_us > SILENT_US ? SHARE_ALL : a->keep;
+  return now_us - a->answered_us > SILENT_US ? CQ_PERMILLE : a->permille;
 }
 
 /* --- whose requests these are ----------------------------------------- */
@@ -156,7 +157,7 @@
 }
 
 bool
-admit_has_returned (int64_t *usual_us, int64_t left_us)
+admit_is_retry (int64_t *usual_us, int64_t left_us)
 {
   bool returned = left_us < *usual_us * RETURNED_PERCENT / 100;
 
@@ -172,21 +173,21 @@
 {
   int i, k;
 
-  for (i = 0; i < AGES_MAX && now_us - a->aged_us >= AGE_US; i++)
+  for (i = 0; i < AGES_MAX && now_us - a->decayed_us >= AGE_US; i++)
     {
       for (k = 0; k < ADMIT_RANKS; k++)
-        a->asked[k] -= (a->asked[k] + AGE_PART - 1) / AGE_PART;
-      a->aged_us += AGE_US;
+        a->demand[k] -= (a->demand[k] + AGE_PART - 1) / AGE_PART;
+      a->decayed_us += AGE_US;
     }
-  if (now_us - a->aged_us >= AGE_US)
-    a->aged_us = now_us;
+  if (now_us - a->decayed_us >= AGE_US)
+    a->decayed_us = now_us;
 }
 
 void
-admit_ask (struct admit *a, int rank, int64_t work, int64_t now_us)
+admit_add_demand (struct admit *a, int rank, int64_t work, int64_t now_us)
 {
   age (a, now_us);
-  a->asked[rank] += work;
+  a->demand[rank] += work;
 }
 
 /*
@@ -198,19 +199,19 @@
  * get nothing while an overload lasts.
  */
 int
-admit_keep_rank (const struct admit *a, int rank, int keep)
+admit_rank_permille (const struct admit *a, int rank, int keep)
 {
   int64_t least = (int64_t)keep * EQUAL_PERCENT / 100;
   int64_t all = 0, room;
   int k;
 
-  if (keep >= SHARE_ALL || a->asked[rank] == 0)
+  if (keep >= CQ_PERMILLE || a->demand[rank] == 0)
     return keep;
   for (k = 0; k < ADMIT_RANKS; k++)
-    all += a->asked[k];
-  room = all * (keep - least) / SHARE_ALL;
+    all += a->demand[k];
+  room = all * (keep - least) / CQ_PERMILLE;
   for (k = 0; k < rank; k++)
-    room -= a->asked[k] * (SHARE_ALL - least) / SHARE_ALL;
-  room = MAX (room, 0) * SHARE_ALL / a->asked[rank];
-  return (int)MIN (least + room, SHARE_ALL);
+    room -= a->demand[k] * (CQ_PERMILLE - least) / CQ_PERMILLE;
+  room = MAX (room, 0) * CQ_PERMILLE / a->demand[rank];
+  return (int)MIN (least + room, CQ_PERMILLE);
 }
--- a/adopt.c
+++ b/adopt.c
@@ -45,7 +45,7 @@
       budget_init (&v->budget, (int)c->retry_percent, (int)c->retry_burst);
     }
   v->queue.queue_max = (int)c->queue_max;
-  v->queue.reserve = (int)c->urgent_reserve;
+  v->queue.urgent_reserve = (int)c->urgent_reserve;
   set_refusals (v);
 }
 
@@ -89,7 +89,7 @@
       route_get (s->routes, i)->opts = o;
     }
   route_get (s->routes, i)->removed = c->removed;
-  pfx_capacity (s->prefixes, i, c->cache_tokens);
+  pfx_set_capacity (s->prefixes, i, c->cache_tokens);
 }
 
 /* --- all --- */
--- a/attempt.c
+++ b/attempt.c
@@ -239,7 +239,7 @@
     return SEND_REFUSED;
   if (!end->whole || (j->streaming && !j->strm.done) || !version_fits (j))
     return SEND_REPLIED;
-  return SEND_WHOLE;
+  return SEND_COMPLETE;
 }
 
 static struct out_verdict
@@ -249,13 +249,13 @@
   struct out_facts f = { .sent = sent, .status = j->status };
 
   /* An endpoint that runs a key once may be asked again with that key. */
-  f.repeatable = c->repeatable || (c->deduplicates && j->key != NULL);
+  f.idempotent = c->repeatable || (c->deduplicates && j->key != NULL);
   f.ran_before = j->ran;
   f.caller_has_bytes = j->begun;
   f.resumable = j->strm.resumable;
   f.attempts_left = attempts_left;
   f.deadline_passed = !j->ran && loop_now_us () >= j->deadline_us;
-  return out_judge (&f);
+  return out_evaluate (&f);
 }
 
 static bool
@@ -285,12 +285,12 @@
 {
   bool ours = j->stopped != NULL && strcmp (j->stopped, "stalled") != 0;
 
-  if (sent == SEND_WHOLE)
+  if (sent == SEND_COMPLETE)
     place_result (j, ROUTE_REACHED, now_us);
   else if (sent == SEND_NONE && !ours)
-    place_result (j, ROUTE_UNREACHED, now_us);
+    place_result (j, ROUTE_UNREACHABLE, now_us);
   else if (sent != SEND_REFUSED && !ours)
-    place_result (j, ROUTE_BROKE, now_us);
+    place_result (j, ROUTE_CONN_BROKEN, now_us);
 }
 
 static void
@@ -345,7 +345,7 @@
            (gint64)(now - j->sent_us), error);
   tell_routing (j, sent, now);
   kept_import_end (j, j->cached_tokens);
-  if (j->model && sent == SEND_WHOLE && j->status == 200)
+  if (j->model && sent == SEND_COMPLETE && j->status == 200)
     kept_answered (j);
   place_release (j, now);
   if (v.next == NEXT_FINISH)
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -181,8 +181,8 @@
 
   r.queued_tokens = n->queued;
   g_strlcpy (r.version, "v1", sizeof r.version);
-  route_reported (v->routes, n->endpoint, &r);
-  pfx_filled (v->prefixes, n->endpoint, n->filled);
+  route_set_report (v->routes, n->endpoint, &r);
+  pfx_set_filled (v->prefixes, n->endpoint, n->filled);
 }
 
 static void
@@ -195,9 +195,9 @@
   else if (n->endpoint >= 0)
     {
       if (n->gap)
-        pfx_gap (v->prefixes, n->endpoint);
+        pfx_mark_gap (v->prefixes, n->endpoint);
       else
-        pfx_removed (v->prefixes, n->digest, n->endpoint);
+        pfx_remove (v->prefixes, n->digest, n->endpoint);
     }
   else if (n->added)
     {
@@ -282,7 +282,7 @@
   in.link_bytes_s = rate;
   in.age_us = age_us;
   in.span_us = HORIZON_US;
-  return keep_worth (&run->keeps[workspace], &in);
+  return keep_value_us (&run->keeps[workspace], &in);
 }
 
 static void
@@ -434,8 +434,8 @@
       if (have < seen)
         run->again += seen - have;
     }
-  pfx_counted (v->prefixes, t->digests, t->n, t->endpoint, t->have);
-  pfx_learn (v->prefixes, t->digests, t->n, t->endpoint);
+  pfx_remove_beyond (v->prefixes, t->digests, t->n, t->endpoint, t->have);
+  pfx_record (v->prefixes, t->digests, t->n, t->endpoint);
   if (keeps ())
     export_work (t, now);
   trip_free (t);
@@ -453,12 +453,12 @@
   link_end (&v->links[t->store], LINK_IMPORT, t->link_bytes, moving_us);
   if (t->have < t->import_to)
     run->failed_imports++;
-  link_waited (&v->links[t->store], t->expected_us,
-               now - t->asked_us - moving_us, now);
+  link_add_wait (&v->links[t->store], t->expected_us,
+                 now - t->asked_us - moving_us, now);
   if (run->world->stores[t->store].dead)
     {
       v->store_down[t->store] = true;
-      dir_forget_store (v->dir, t->store);
+      dir_remove_store (v->dir, t->store);
       return;
     }
   for (at = DIR_SEGMENT_BLOCKS - 1; at < t->have; at += DIR_SEGMENT_BLOCKS)
@@ -582,7 +582,7 @@
              c.import_us);
   route_sent (v->routes, c.endpoint,
               t->ask.tokens - c.cached_tokens - c.import_tokens, run->now_us);
-  pfx_sent (v->prefixes, c.endpoint, t->ask.tokens - c.cached_tokens);
+  pfx_add_filled (v->prefixes, c.endpoint, t->ask.tokens - c.cached_tokens);
   route_done (v->routes, c.endpoint);
 }
 
@@ -691,8 +691,8 @@
       o.rtt_us = rtt (number, i % run->w->domains);
       o.prefill_tokens_s = run->w->prefill_tokens_s;
       route_add (v->routes, &o);
-      route_reported (v->routes, i, &r);
-      pfx_capacity (v->prefixes, i, run->w->cache_tokens);
+      route_set_report (v->routes, i, &r);
+      pfx_set_capacity (v->prefixes, i, run->w->cache_tokens);
     }
   for (i = 0; i < run->w->stores; i++)
     link_init (&v->links[i], run->w->link_bytes_s, segment_bytes ());
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -48,7 +48,7 @@
       o.rtt_us = 500 + i % 7;
       route_add (t, &o);
       r.queued_tokens = (i * 37) % 4000;
-      route_reported (t, i, &r);
+      route_set_report (t, i, &r);
     }
   return t;
 }
@@ -71,7 +71,7 @@
   for (i = 0; i < prefixes; i++)
     {
       make_chain ((uint64_t)i, digests);
-      pfx_learn (p, digests, CHAIN, i % endpoints);
+      pfx_record (p, digests, CHAIN, i % endpoints);
     }
   for (i = 0; i < decisions; i++)
     {
@@ -79,7 +79,7 @@
       q.nhits = pfx_lookup (p, digests, CHAIN, hits, 32);
       c = route_pick (t, &q, 1000 + i);
       route_sent (t, c.endpoint, 100, 1000 + i);
-      pfx_learn (p, digests, CHAIN, c.endpoint);
+      pfx_record (p, digests, CHAIN, c.endpoint);
       route_done (t, c.endpoint);
     }
 }
@@ -94,7 +94,7 @@
   for (i = 0; i < n; i++)
     {
       d = (uint64_t)i;
-      pfx_learn (p, &d, 1, i % 1024);
+      pfx_record (p, &d, 1, i % 1024);
     }
 }
 
--- a/claim.c
+++ b/claim.c
@@ -12,8 +12,8 @@
  * may be paused between its claim and its send.
  */
 enum claim_code
-claim_judge (const struct claim_row *row, const char *attempt,
-             const char *digest, int64_t wall_ms)
+claim_evaluate (const struct claim_row *row, const char *attempt,
+                const char *digest, int64_t wall_ms)
 {
   if (strcmp (row->digest, digest) != 0)
     return CLAIM_MISMATCH;
--- a/decide.h
+++ b/decide.h
@@ -41,7 +41,7 @@
   SEND_PARTIAL, /* a byte or more was handed over, no reply status yet */
   SEND_REFUSED, /* the endpoint's declared refusal: it did not start */
   SEND_REPLIED, /* a reply status arrived, the body is not whole */
-  SEND_WHOLE    /* the reply arrived whole */
+  SEND_COMPLETE /* the reply arrived whole */
 };
 
 /* What the request may do next. */
@@ -57,7 +57,7 @@
 {
   enum send_state sent;  /* how far the attempt got */
   int status;            /* HTTP status when SEND_REPLIED or SEND_WHOLE */
-  bool repeatable;       /* the service is declared idempotent */
+  bool idempotent;       /* the service is declared idempotent */
   bool ran_before;       /* an earlier attempt may have run */
   bool caller_has_bytes; /* part of an answer went to the caller */
   bool resumable;        /* the stream can continue at a token offset */
@@ -80,19 +80,19 @@
 const char *out_next_name (enum out_next next);
 
 /* Judge an attempt: the only place that may turn a send state into not-run. */
-struct out_verdict out_judge (const struct out_facts *facts);
+struct out_verdict out_evaluate (const struct out_facts *facts);
 
 /* Outcome of giving up before the next attempt. */
-enum outcome out_refused (bool may_have_run, bool repeatable);
+enum outcome out_abandoned (bool may_have_run, bool repeatable);
 
 /* --- share: whose requests are refused when some must be -------------- */
 
-#define SHARE_MAX 64       /* workspaces that are told apart */
-#define SHARE_ALL 1000     /* permille that stand for all requests */
-#define SHARE_NAME_SIZE 64 /* bytes of a workspace's name with its NUL */
+#define SHARE_MAX_WORKSPACES 64 /* workspaces that are told apart */
+#define CQ_PERMILLE 1000        /* permille that stand for all requests */
+#define SHARE_NAME_SIZE 64      /* bytes of a workspace's name with its NUL */
 
 /* What one workspace asked of a service lately. */
-struct share_entry
+struct share_workspace
 {
   char name[SHARE_NAME_SIZE]; /* of the workspace */
   int64_t work;               /* asked for; old work counts for less */
@@ -101,17 +101,18 @@
 /* What workspaces asked of a service lately. */
 struct share
 {
-  struct share_entry entries[SHARE_MAX]; /* the ones told apart */
-  int n;                                 /* entries in use */
-  int64_t aged_us;                       /* old work was last counted down */
+  struct share_workspace
+      entries[SHARE_MAX_WORKSPACES]; /* the ones told apart */
+  int n;                             /* entries in use */
+  int64_t decayed_us;                /* old work was last counted down */
 };
 
 /* WORKSPACE asks for WORK, in any unit that is the same for all. */
-void share_ask (struct share *s, const char *workspace, int64_t work,
-                int64_t now_us);
+void share_add_demand (struct share *s, const char *workspace, int64_t work,
+                       int64_t now_us);
 /* Permille of the requests of WORKSPACE to keep, if KEEP of all work can be
    kept: equal shares for all, and what one does not need for the others. */
-int share_keep (const struct share *s, const char *workspace, int keep);
+int share_permille (const struct share *s, const char *workspace, int keep);
 
 /* --- admit: how much of what is asked of a service is let in ---------- */
 
@@ -122,19 +123,19 @@
 /* Admission to one service, as one VM sees it. */
 struct admit
 {
-  int keep;             /* permille of the work asked for that is let in */
-  int64_t pressure;     /* smoothed, permille of its aim */
-  int64_t last_mean;    /* the same of the last step, not smoothed */
-  int64_t step_us;      /* when keep was changed last */
-  int64_t seen_us;      /* when the last answer came, 0 for never */
-  int answers;          /* since the last step */
-  int64_t pressure_sum; /* of these answers, permille of the aim each */
-  int64_t asked[ADMIT_RANKS]; /* work asked for; old work counts less */
-  int64_t aged_us;            /* when old work was last counted down */
+  int permille;          /* permille of the work asked for that is let in */
+  int64_t pressure;      /* smoothed, permille of its aim */
+  int64_t prev_pressure; /* the same of the last step, not smoothed */
+  int64_t step_us;       /* when keep was changed last */
+  int64_t answered_us;   /* when the last answer came, 0 for never */
+  int answers;           /* since the last step */
+  int64_t pressure_sum;  /* of these answers, permille of the aim each */
+  int64_t demand[ADMIT_RANKS]; /* work asked for; old work counts less */
+  int64_t decayed_us;          /* when old work was last counted down */
 };
 
 /* What an answer shows of its endpoint. */
-struct admit_seen
+struct admit_sample
 {
   int64_t wait_us;   /* for its first piece */
   int64_t target_us; /* in which that should have come, 0 if unsaid */
@@ -143,19 +144,20 @@
 };
 
 void admit_init (struct admit *a);
-void admit_answered (struct admit *a, const struct admit_seen *seen,
-                     int64_t now_us);
+void admit_add_sample (struct admit *a, const struct admit_sample *seen,
+                       int64_t now_us);
 /* Permille of the work asked for that can be let in. */
-int admit_keep (const struct admit *a, int64_t now_us);
+int admit_permille (const struct admit *a, int64_t now_us);
 /* Whether a caller with LEFT_US has waited before, going by the USUAL_US of
    others, 0 at first, which is kept up. */
-bool admit_has_returned (int64_t *usual_us, int64_t left_us);
+bool admit_is_retry (int64_t *usual_us, int64_t left_us);
 /* Which callers go first: a lower rank does. */
 int admit_rank (int urgency, bool returned);
 /* A request of RANK asks for WORK, in any unit that is the same for all. */
-void admit_ask (struct admit *a, int rank, int64_t work, int64_t now_us);
+void admit_add_demand (struct admit *a, int rank, int64_t work,
+                       int64_t now_us);
 /* Permille of the requests of RANK to let in, if KEEP of all work can be. */
-int admit_keep_rank (const struct admit *a, int rank, int keep);
+int admit_rank_permille (const struct admit *a, int rank, int keep);
 
 /* --- budget: retries as a share of requests -------------------------- */
 
@@ -187,8 +189,8 @@
 struct lim_workspace
 {
   struct lim_opts opts; /* declared limits */
-  int64_t level;        /* tokens that may be spent now */
-  int64_t filled_us;    /* time up to which the bucket was filled */
+  int64_t tokens;       /* tokens that may be spent now */
+  int64_t refilled_us;  /* time up to which the bucket was filled */
   int running;          /* requests that hold an endpoint's place */
   int queued;           /* requests that wait */
 };
@@ -196,10 +198,10 @@
 enum lim_code
 {
   LIM_OK,
-  LIM_BODY,   /* body larger than body_max */
-  LIM_TOKENS, /* token rate spent */
-  LIM_QUEUE,  /* too many requests of this workspace wait */
-  LIM_NEVER   /* cost exceeds the burst: no waiting will help */
+  LIM_BODY,      /* body larger than body_max */
+  LIM_TOKENS,    /* token rate spent */
+  LIM_QUEUE,     /* too many requests of this workspace wait */
+  LIM_OVER_BURST /* cost exceeds the burst: no waiting will help */
 };
 
 /* Judgement on admission. */
@@ -234,7 +236,7 @@
   struct fq_flow *flow;           /* where it waits, NULL when it does not */
   int64_t cost;                   /* tokens, or 1 for a plain call */
   int64_t deadline_us;            /* must have started by then */
-  int64_t pushed_us;              /* when it was queued */
+  int64_t queued_us;              /* when it was queued */
 };
 
 /* Requests of one workspace and class that wait for one service. */
@@ -258,7 +260,7 @@
   int flows[FQ_CLASSES];             /* active flows of each class */
   int queued[FQ_CLASSES];            /* entries of each class */
   int queue_max;                     /* entries in all */
-  int reserve;                       /* places that only urgent work takes */
+  int urgent_reserve;                /* places that only urgent work takes */
   int64_t quantum;                   /* cost granted to a flow each turn */
   int64_t hold_us;                   /* smoothed time a place is held */
 };
@@ -273,9 +275,9 @@
 /* Judgement on queueing. */
 struct fq_verdict
 {
-  enum fq_code code;       /* FQ_QUEUED or why not */
-  int64_t wait_us;         /* expected wait, for Retry-After */
-  struct fq_entry *victim; /* pushed out by this one: answer it not-run */
+  enum fq_code code;        /* FQ_QUEUED or why not */
+  int64_t wait_us;          /* expected wait, for Retry-After */
+  struct fq_entry *evicted; /* pushed out by this one: answer it not-run */
 };
 
 void fq_init (struct fq *q, int queue_max, int reserve, int64_t quantum);
@@ -286,7 +288,7 @@
 struct fq_entry *fq_pop (struct fq *q, int free_places, int share_places);
 void fq_finished (struct fq_flow *f);
 void fq_remove (struct fq *q, struct fq_entry *e);
-void fq_held (struct fq *q, int64_t held_us);
+void fq_add_hold_time (struct fq *q, int64_t held_us);
 
 /* --- pfx: which endpoint is likely to hold which prompt prefix ------- */
 
@@ -310,9 +312,9 @@
 /* An endpoint and the number of leading blocks it is believed to hold. */
 struct pfx_hit
 {
-  int endpoint; /* index in the routing table */
-  int blocks;   /* leading blocks of the prompt */
-  int permille; /* how likely they are still there */
+  int endpoint;             /* index in the routing table */
+  int blocks;               /* leading blocks of the prompt */
+  int probability_permille; /* how likely they are still there */
 };
 
 struct pfx;
@@ -323,19 +325,19 @@
 
 /* An endpoint's memory: how many tokens it holds, and how many were put into
    it so far, by its own count in a report or as sent since. */
-void pfx_capacity (struct pfx *p, int endpoint, int64_t tokens);
-void pfx_filled (struct pfx *p, int endpoint, int64_t tokens);
-void pfx_sent (struct pfx *p, int endpoint, int64_t tokens);
+void pfx_set_capacity (struct pfx *p, int endpoint, int64_t tokens);
+void pfx_set_filled (struct pfx *p, int endpoint, int64_t tokens);
+void pfx_add_filled (struct pfx *p, int endpoint, int64_t tokens);
 
 /* What is known of one prompt at one endpoint. */
-void pfx_learn (struct pfx *p, const uint64_t *digests, int n, int endpoint);
-void pfx_removed (struct pfx *p, uint64_t digest, int endpoint);
-void pfx_counted (struct pfx *p, const uint64_t *digests, int n, int endpoint,
-                  int blocks);
+void pfx_record (struct pfx *p, const uint64_t *digests, int n, int endpoint);
+void pfx_remove (struct pfx *p, uint64_t digest, int endpoint);
+void pfx_remove_beyond (struct pfx *p, const uint64_t *digests, int n,
+                        int endpoint, int blocks);
 
 /* Events of an endpoint were lost; or all it held is gone. */
-void pfx_gap (struct pfx *p, int endpoint);
-void pfx_forget_endpoint (struct pfx *p, int endpoint);
+void pfx_mark_gap (struct pfx *p, int endpoint);
+void pfx_invalidate_endpoint (struct pfx *p, int endpoint);
 
 int pfx_lookup (struct pfx *p, const uint64_t *digests, int n,
                 struct pfx_hit *hits, int max_hits);
@@ -368,9 +370,9 @@
 /* How a call to an endpoint ended, as far as the endpoint is to blame. */
 enum route_result
 {
-  ROUTE_REACHED,  /* it answered */
-  ROUTE_BROKE,    /* its connection broke, or stopped moving */
-  ROUTE_UNREACHED /* no connection */
+  ROUTE_REACHED,     /* it answered */
+  ROUTE_CONN_BROKEN, /* its connection broke, or stopped moving */
+  ROUTE_UNREACHABLE  /* no connection */
 };
 
 enum route_state
@@ -397,15 +399,15 @@
   struct route_report report;           /* last report */
   int running;                          /* our requests at it now */
   struct route_send sends[ROUTE_SENDS]; /* latest requests sent to it */
-  unsigned nsends;  /* requests ever sent; the latest is kept at
-                       (nsends - 1) % ROUTE_SENDS */
-  int done_since;   /* requests that ended since the report */
-  int fails;        /* failures in a row since the ejection */
-  int breaks;       /* broken connections in a row */
-  int64_t retry_us; /* not before this time after a failure */
-  bool draining;    /* taken out by an operator */
-  bool removed;     /* taken out of the settings */
-  char left[40];    /* incarnation that is leaving, sticky */
+  unsigned nsends;              /* requests ever sent; the latest is kept at
+                                   (nsends - 1) % ROUTE_SENDS */
+  int done_since_report;        /* requests that ended since the report */
+  int ejections;                /* failures in a row since the ejection */
+  int broken_conns;             /* broken connections in a row */
+  int64_t retry_us;             /* not before this time after a failure */
+  bool draining;                /* taken out by an operator */
+  bool removed;                 /* taken out of the settings */
+  char leaving_incarnation[40]; /* incarnation that is leaving, sticky */
 };
 
 struct route_table;
@@ -451,7 +453,7 @@
   int64_t import_us;     /* wait for the link and transfer */
   int64_t score;         /* weighted sum that was compared */
   int candidates;        /* endpoints that could be chosen */
-  int near;              /* of these, near enough to the best */
+  int near_best;         /* of these, near enough to the best */
 };
 
 struct route_table *route_new (uint64_t seed);
@@ -462,16 +464,16 @@
 enum route_state route_state (const struct route_endpoint *e, int64_t now_us);
 struct route_choice route_pick (struct route_table *t,
                                 const struct route_query *q, int64_t now_us);
-int route_places (const struct route_table *t, int service, int64_t now_us);
-int route_free_places (const struct route_table *t, int service,
-                       int64_t now_us);
+int route_slots (const struct route_table *t, int service, int64_t now_us);
+int route_free_slots (const struct route_table *t, int service,
+                      int64_t now_us);
 void route_sent (struct route_table *t, int endpoint, int64_t prompt_tokens,
                  int64_t now_us);
 void route_done (struct route_table *t, int endpoint);
 void route_result (struct route_table *t, int endpoint,
                    enum route_result result, int64_t now_us);
-void route_reported (struct route_table *t, int endpoint,
-                     const struct route_report *report);
+void route_set_report (struct route_table *t, int endpoint,
+                       const struct route_report *report);
 const char *route_code_name (enum route_code code);
 const char *route_state_name (enum route_state state);
 
@@ -501,8 +503,9 @@
   CLAIM_MISMATCH /* the key was used for another request */
 };
 
-enum claim_code claim_judge (const struct claim_row *row, const char *attempt,
-                             const char *digest, int64_t wall_ms);
+enum claim_code claim_evaluate (const struct claim_row *row,
+                                const char *attempt, const char *digest,
+                                int64_t wall_ms);
 bool claim_may_send (int64_t claimed_us, int64_t send_within_us,
                      int64_t now_us);
 const char *claim_name (enum claim_code code);
--- a/dir.c
+++ b/dir.c
@@ -130,7 +130,7 @@
 
 /* A store died or came back empty. */
 void
-dir_forget_store (struct dir *d, int store)
+dir_remove_store (struct dir *d, int store)
 {
   struct dir_entry *e, *next;
   int c;
--- a/export.c
+++ b/export.c
@@ -75,7 +75,7 @@
             ->prefill_tokens_s;
   in.link_bytes_s = st->link.bytes_s;
   in.span_us = j->sc->keep_span_s * CQ_US_PER_S;
-  return keep_worth (&k->keeps[j->workspace->index], &in) > 0;
+  return keep_value_us (&k->keeps[j->workspace->index], &in) > 0;
 }
 
 /* The whole prompt goes to one store: by its first segment, so that all VMs
@@ -277,10 +277,10 @@
   if (j->cached_tokens < 0)
     return;
   g_mutex_lock (&s->route_lock);
-  pfx_counted (s->prefixes, j->digests, j->ndigests, j->choice.endpoint,
-               (int)(j->cached_tokens / BLOCK_TOKENS));
+  pfx_remove_beyond (s->prefixes, j->digests, j->ndigests, j->choice.endpoint,
+                     (int)(j->cached_tokens / BLOCK_TOKENS));
   /* It has computed the whole prompt by now. */
-  pfx_learn (s->prefixes, j->digests, j->ndigests, j->choice.endpoint);
+  pfx_record (s->prefixes, j->digests, j->ndigests, j->choice.endpoint);
   g_mutex_unlock (&s->route_lock);
 }
 
--- a/fq.c
+++ b/fq.c
@@ -17,7 +17,7 @@
   int c;
 
   *q = (struct fq){ .queue_max = queue_max };
-  q->reserve = reserve;
+  q->urgent_reserve = reserve;
   q->quantum = quantum;
   for (c = 0; c < FQ_CLASSES; c++)
     APR_RING_INIT (&q->active[c], fq_flow, link);
@@ -136,8 +136,8 @@
     }
   if (q->queued[FQ_URGENT] + q->queued[FQ_NORMAL] >= q->queue_max)
     {
-      v.victim = push_out (q, f);
-      if (v.victim == NULL)
+      v.evicted = push_out (q, f);
+      if (v.evicted == NULL)
         {
           v.code = FQ_FULL;
           return v;
@@ -147,7 +147,7 @@
     activate (q, f);
   APR_RING_INSERT_TAIL (&f->list, e, fq_entry, link);
   e->flow = f;
-  e->pushed_us = now_us;
+  e->queued_us = now_us;
   f->queued++;
   f->workspace->queued++;
   q->queued[f->class]++;
@@ -213,7 +213,7 @@
   if (free_places <= 0)
     return NULL;
   e = pop_class (q, FQ_URGENT, share_places);
-  if (e == NULL && free_places > q->reserve)
+  if (e == NULL && free_places > q->urgent_reserve)
     e = pop_class (q, FQ_NORMAL, share_places);
   return e;
 }
@@ -228,7 +228,7 @@
 
 /* Learn how long a place was held, for the expected wait. */
 void
-fq_held (struct fq *q, int64_t held_us)
+fq_add_hold_time (struct fq *q, int64_t held_us)
 {
   if (q->hold_us == 0)
     q->hold_us = held_us;
--- a/job.c
+++ b/job.c
@@ -277,7 +277,7 @@
 static void
 refuse (struct job *j, const char *code, int64_t retry_after_us)
 {
-  enum outcome outcome = out_refused (j->ran, j->sc->repeatable);
+  enum outcome outcome = out_abandoned (j->ran, j->sc->repeatable);
 
   if (outcome == OUT_NOT_RUN)
     jobclaim_release (j);
--- a/jobclaim.c
+++ b/jobclaim.c
@@ -349,7 +349,7 @@
   r.phase
       = strcmp (text_of (row, "phase"), "done") == 0 ? CLAIM_DONE : CLAIM_HELD;
   r.give_up_ms = json_integer_value (json_object_get (row, "give_up_ms"));
-  code = claim_judge (&r, j->attempt_id, j->digest, wall_ms ());
+  code = claim_evaluate (&r, j->attempt_id, j->digest, wall_ms ());
   if (code != CLAIM_OWN)
     log_claim (j, claim_name (code));
   switch (code)
--- a/keep.c
+++ b/keep.c
@@ -54,7 +54,7 @@
  * AGE + SPAN.  Buckets count whole, which is as fine as the decision needs.
  */
 int64_t
-keep_chance_ppm (const struct keep *k, int64_t age_us, int64_t span_us)
+keep_return_ppm (const struct keep *k, int64_t age_us, int64_t span_us)
 {
   int from = bucket_of (age_us);
   int to = bucket_of (age_us + span_us);
@@ -72,7 +72,7 @@
 }
 
 int64_t
-keep_worth (const struct keep *k, const struct keep_in *in)
+keep_value_us (const struct keep *k, const struct keep_in *in)
 {
   int64_t recompute = in->tokens * US_PER_S / in->prefill_tokens_s;
   int64_t import = in->bytes * US_PER_S / in->link_bytes_s;
@@ -81,6 +81,6 @@
 
   if (saved <= 0)
     return 0;
-  return saved * keep_chance_ppm (k, in->age_us, in->span_us) / PPM
+  return saved * keep_return_ppm (k, in->age_us, in->span_us) / PPM
          / megabytes;
 }
--- a/kept.c
+++ b/kept.c
@@ -46,7 +46,7 @@
   g_mutex_lock (&s->route_lock);
   if (must_start_over (st, l))
     {
-      dir_forget_store (st->kept->dir, st->index);
+      dir_remove_store (st->kept->dir, st->index);
       g_strlcpy (st->incarnation, l->incarnation, sizeof st->incarnation);
       st->next_change = 0;
       log_event (LOG_LEVEL_INFO, "store", "store=%s incarnation=%s restart=1",
@@ -172,7 +172,7 @@
   g_mutex_lock (&s->route_lock);
   link_end (&st->link, LINK_IMPORT, import_bytes (j), 0);
   if (cached_tokens >= wanted)
-    link_waited (&st->link, j->choice.import_us, now - j->sent_us, now);
+    link_add_wait (&st->link, j->choice.import_us, now - j->sent_us, now);
   g_mutex_unlock (&s->route_lock);
   if (cached_tokens >= 0)
     job_log (j, "import",
--- a/kept.h
+++ b/kept.h
@@ -51,7 +51,7 @@
 struct dir_entry *dir_add (struct dir *d, uint64_t digest, int store,
                            uint64_t write_id, int64_t now_us);
 bool dir_remove (struct dir *d, uint64_t digest, int store, uint64_t write_id);
-void dir_forget_store (struct dir *d, int store);
+void dir_remove_store (struct dir *d, int store);
 void dir_touch (struct dir *d, struct dir_entry *e, int64_t now_us);
 /* Leading blocks of the prompt that STORE holds without a gap. */
 int dir_depth (struct dir *d, const uint64_t *digests, int n, int store);
@@ -72,7 +72,7 @@
 struct link
 {
   int64_t bytes_s;              /* smoothed rate while it is busy */
-  int64_t grain;                /* bytes of one segment */
+  int64_t segment_bytes;        /* bytes of one segment */
   int64_t queued[LINK_CLASSES]; /* bytes asked for and not done */
   int64_t used[LINK_CLASSES];   /* bytes done, for the measures */
   int64_t others_us;            /* smoothed wait behind other VMs' transfers */
@@ -82,8 +82,8 @@
 void link_init (struct link *l, int64_t bytes_s, int64_t grain);
 int64_t link_wait_us (const struct link *l, enum link_class class,
                       int64_t now_us);
-void link_waited (struct link *l, int64_t expected_us, int64_t actual_us,
-                  int64_t now_us);
+void link_add_wait (struct link *l, int64_t expected_us, int64_t actual_us,
+                    int64_t now_us);
 bool link_admit (const struct link *l, enum link_class class, int64_t bytes,
                  int64_t budget_us, int64_t now_us);
 void link_begin (struct link *l, enum link_class class, int64_t bytes);
@@ -150,7 +150,7 @@
 void keep_used (struct keep *k);
 void keep_returned (struct keep *k, int64_t gap_us);
 /* Chance in a million that a prompt unused for AGE returns within SPAN. */
-int64_t keep_chance_ppm (const struct keep *k, int64_t age_us,
+int64_t keep_return_ppm (const struct keep *k, int64_t age_us,
                          int64_t span_us);
 
 /* What keeping or dropping is judged on. */
@@ -165,6 +165,6 @@
 };
 
 /* Worth for each megabyte: expected microseconds saved. */
-int64_t keep_worth (const struct keep *k, const struct keep_in *in);
+int64_t keep_value_us (const struct keep *k, const struct keep_in *in);
 
 #endif
--- a/lim.c
+++ b/lim.c
@@ -5,8 +5,8 @@
 lim_init (struct lim_workspace *w, const struct lim_opts *opts, int64_t now_us)
 {
   *w = (struct lim_workspace){ .opts = *opts };
-  w->level = opts->token_burst;
-  w->filled_us = now_us;
+  w->tokens = opts->token_burst;
+  w->refilled_us = now_us;
 }
 
 /* Add the tokens earned since the last call, in whole tokens only. */
@@ -14,7 +14,7 @@
 fill (struct lim_workspace *w, int64_t now_us)
 {
   int64_t rate = w->opts.tokens_s;
-  int64_t span = now_us - w->filled_us;
+  int64_t span = now_us - w->refilled_us;
   int64_t earned;
 
   if (span <= 0)
@@ -22,15 +22,15 @@
   /* A long idle time fills the bucket; this keeps the product small. */
   if (span / CQ_US_PER_S >= w->opts.token_burst / rate + 1)
     {
-      w->level = w->opts.token_burst;
-      w->filled_us = now_us;
+      w->tokens = w->opts.token_burst;
+      w->refilled_us = now_us;
       return;
     }
   earned = span * rate / CQ_US_PER_S;
-  w->level += earned;
-  w->filled_us += earned * CQ_US_PER_S / rate;
-  if (w->level > w->opts.token_burst)
-    w->level = w->opts.token_burst;
+  w->tokens += earned;
+  w->refilled_us += earned * CQ_US_PER_S / rate;
+  if (w->tokens > w->opts.token_burst)
+    w->tokens = w->opts.token_burst;
 }
 
 static struct lim_verdict
@@ -45,12 +45,12 @@
   if (w->opts.tokens_s == 0)
     return refuse (LIM_OK, 0);
   if (cost > w->opts.token_burst)
-    return refuse (LIM_NEVER, 0);
+    return refuse (LIM_OVER_BURST, 0);
   fill (w, now_us);
-  if (w->level < cost)
+  if (w->tokens < cost)
     return refuse (LIM_TOKENS,
-                   (cost - w->level) * CQ_US_PER_S / w->opts.tokens_s + 1);
-  w->level -= cost;
+                   (cost - w->tokens) * CQ_US_PER_S / w->opts.tokens_s + 1);
+  w->tokens -= cost;
   return refuse (LIM_OK, 0);
 }
 
@@ -72,9 +72,9 @@
 {
   if (w->opts.tokens_s == 0 || tokens <= 0)
     return;
-  w->level += tokens;
-  if (w->level > w->opts.token_burst)
-    w->level = w->opts.token_burst;
+  w->tokens += tokens;
+  if (w->tokens > w->opts.token_burst)
+    w->tokens = w->opts.token_burst;
 }
 
 const char *
@@ -85,7 +85,7 @@
     [LIM_BODY] = "body_too_large",
     [LIM_TOKENS] = "token_rate",
     [LIM_QUEUE] = "workspace_queue_full",
-    [LIM_NEVER] = "exceeds_token_burst",
+    [LIM_OVER_BURST] = "exceeds_token_burst",
   };
   return names[code];
 }
--- a/link.c
+++ b/link.c
@@ -13,7 +13,7 @@
 void
 link_init (struct link *l, int64_t bytes_s, int64_t grain)
 {
-  *l = (struct link){ .bytes_s = bytes_s, .grain = grain };
+  *l = (struct link){ .bytes_s = bytes_s, .segment_bytes = grain };
 }
 
 /* What is left of the wait behind others that was learned earlier. */
@@ -43,7 +43,7 @@
   for (; c < LINK_CLASSES; c++)
     if (l->queued[c] > 0)
       {
-        ahead += l->grain;
+        ahead += l->segment_bytes;
         break;
       }
   return ahead * US_PER_S / l->bytes_s + others_now (l, now_us);
@@ -54,8 +54,8 @@
  * queued cannot be seen, only felt: the surplus is their share.
  */
 void
-link_waited (struct link *l, int64_t expected_us, int64_t actual_us,
-             int64_t now_us)
+link_add_wait (struct link *l, int64_t expected_us, int64_t actual_us,
+               int64_t now_us)
 {
   int64_t before = others_now (l, now_us);
   int64_t seen = before + actual_us - expected_us;
--- a/out.c
+++ b/out.c
@@ -19,7 +19,7 @@
   static const char *const names[] = {
     [SEND_NONE] = "none",       [SEND_PARTIAL] = "partial",
     [SEND_REFUSED] = "refused", [SEND_REPLIED] = "replied",
-    [SEND_WHOLE] = "whole",
+    [SEND_COMPLETE] = "whole",
   };
   return names[sent];
 }
@@ -40,7 +40,7 @@
  * It is not-run only if no attempt before it can have run.
  */
 enum outcome
-out_refused (bool may_have_run, bool repeatable)
+out_abandoned (bool may_have_run, bool repeatable)
 {
   if (!may_have_run)
     return OUT_NOT_RUN;
@@ -64,7 +64,7 @@
 static struct out_verdict
 judge_unsent (const struct out_facts *f, const char *reason)
 {
-  enum outcome outcome = out_refused (f->ran_before, f->repeatable);
+  enum outcome outcome = out_abandoned (f->ran_before, f->idempotent);
 
   if (f->deadline_passed)
     return finish (outcome, "deadline");
@@ -81,7 +81,7 @@
 static struct out_verdict
 judge_broken (const struct out_facts *f)
 {
-  if (!f->repeatable)
+  if (!f->idempotent)
     return finish (OUT_UNKNOWN, "broken_after_send");
   if (f->deadline_passed)
     return finish (OUT_FAILED, "deadline");
@@ -99,14 +99,14 @@
 {
   if (f->status < 500)
     return finish (OUT_ANSWERED, "answered");
-  if (f->repeatable && f->attempts_left && !f->deadline_passed
+  if (f->idempotent && f->attempts_left && !f->deadline_passed
       && !f->caller_has_bytes)
     return again (NEXT_RETRY, "endpoint_error");
   return finish (OUT_FAILED, "endpoint_error");
 }
 
 struct out_verdict
-out_judge (const struct out_facts *facts)
+out_evaluate (const struct out_facts *facts)
 {
   switch (facts->sent)
     {
@@ -117,7 +117,7 @@
     case SEND_PARTIAL:
     case SEND_REPLIED:
       return judge_broken (facts);
-    case SEND_WHOLE:
+    case SEND_COMPLETE:
       return judge_whole (facts);
     }
   return finish (OUT_UNKNOWN, "broken_after_send");
--- a/pfx.c
+++ b/pfx.c
@@ -133,14 +133,14 @@
 /* --- memories -------------------------------------------------------- */
 
 void
-pfx_capacity (struct pfx *p, int endpoint, int64_t tokens)
+pfx_set_capacity (struct pfx *p, int endpoint, int64_t tokens)
 {
   p->memories[endpoint].capacity = (uint32_t)(tokens / TOKENS_PER_TICK);
 }
 
 /* The endpoint's own count; it never goes back within one life. */
 void
-pfx_filled (struct pfx *p, int endpoint, int64_t tokens)
+pfx_set_filled (struct pfx *p, int endpoint, int64_t tokens)
 {
   struct memory *m = &p->memories[endpoint];
   uint32_t ticks = (uint32_t)(tokens / TOKENS_PER_TICK);
@@ -150,7 +150,7 @@
 }
 
 void
-pfx_sent (struct pfx *p, int endpoint, int64_t tokens)
+pfx_add_filled (struct pfx *p, int endpoint, int64_t tokens)
 {
   struct memory *m = &p->memories[endpoint];
 
@@ -164,13 +164,13 @@
  * it is used again.
  */
 void
-pfx_gap (struct pfx *p, int endpoint)
+pfx_mark_gap (struct pfx *p, int endpoint)
 {
   p->memories[endpoint].gaps++;
 }
 
 void
-pfx_forget_endpoint (struct pfx *p, int endpoint)
+pfx_invalidate_endpoint (struct pfx *p, int endpoint)
 {
   p->memories[endpoint].life++;
 }
@@ -250,7 +250,7 @@
 
 /* Note that ENDPOINT has just processed the prompt with these digests. */
 void
-pfx_learn (struct pfx *p, const uint64_t *digests, int n, int endpoint)
+pfx_record (struct pfx *p, const uint64_t *digests, int n, int endpoint)
 {
   struct entry *e;
   int i;
@@ -269,7 +269,7 @@
 
 /* An event says that ENDPOINT has evicted the block. */
 void
-pfx_removed (struct pfx *p, uint64_t digest, int endpoint)
+pfx_remove (struct pfx *p, uint64_t digest, int endpoint)
 {
   struct entry *e = g_hash_table_lookup (p->by_digest, &digest);
   int from, to = 0;
@@ -286,13 +286,13 @@
 /* The endpoint's answer told how many leading BLOCKS it had in memory: what
    was believed beyond them is wrong. */
 void
-pfx_counted (struct pfx *p, const uint64_t *digests, int n, int endpoint,
-             int blocks)
+pfx_remove_beyond (struct pfx *p, const uint64_t *digests, int n, int endpoint,
+                   int blocks)
 {
   int i;
 
   for (i = blocks; i < n; i++)
-    pfx_removed (p, digests[i], endpoint);
+    pfx_remove (p, digests[i], endpoint);
 }
 
 /* --- lookup ---------------------------------------------------------- */
--- a/poll.c
+++ b/poll.c
@@ -91,14 +91,14 @@
 
   if (report->first_event > t->next_event && t->next_event > 0)
     {
-      pfx_gap (p, t->endpoint);
+      pfx_mark_gap (p, t->endpoint);
       log_event (
           LOG_LEVEL_INFO, "cache_gap", "endpoint=%s missing=%" G_GINT64_FORMAT,
           cfg_endpoint (server_cfg (t->poller->server), t->endpoint)->id,
           (gint64)(report->first_event - t->next_event));
     }
   for (i = 0; i < report->nremoved; i++)
-    pfx_removed (p, report->removed[i], t->endpoint);
+    pfx_remove (p, report->removed[i], t->endpoint);
   t->next_event = report->next_event;
 }
 
@@ -111,14 +111,14 @@
 
   g_mutex_lock (&s->route_lock);
   old = route_get (s->routes, t->endpoint)->report;
-  route_reported (s->routes, t->endpoint, now);
+  route_set_report (s->routes, t->endpoint, now);
   route_result (s->routes, t->endpoint, ROUTE_REACHED, now->at_us);
   if (cache_lost (&old, now))
     {
-      pfx_forget_endpoint (s->prefixes, t->endpoint);
+      pfx_invalidate_endpoint (s->prefixes, t->endpoint);
       t->next_event = 0;
     }
-  pfx_filled (s->prefixes, t->endpoint, report->filled_tokens);
+  pfx_set_filled (s->prefixes, t->endpoint, report->filled_tokens);
   take_events (t, report);
   g_mutex_unlock (&s->route_lock);
   log_change (t, &old, now);
@@ -136,7 +136,7 @@
     log_event (LOG_LEVEL_WARNING, "endpoint", "endpoint=%s silent=1",
                cfg_endpoint (server_cfg (s), t->endpoint)->id);
   g_mutex_lock (&s->route_lock);
-  route_result (s->routes, t->endpoint, ROUTE_UNREACHED, now_us);
+  route_result (s->routes, t->endpoint, ROUTE_UNREACHABLE, now_us);
   g_mutex_unlock (&s->route_lock);
 }
 
--- a/pump.c
+++ b/pump.c
@@ -70,7 +70,7 @@
   int n;
 
   g_mutex_lock (&s->route_lock);
-  n = route_places (s->routes, j->service->index, now_us);
+  n = route_slots (s->routes, j->service->index, now_us);
   g_mutex_unlock (&s->route_lock);
   return n;
 }
@@ -96,11 +96,11 @@
     return fq_refusal (v.code);
   j->state = JOB_QUEUED;
   met_add (MET_QUEUED, 1);
-  if (v.victim != NULL)
+  if (v.evicted != NULL)
     {
       met_add (MET_QUEUED, -1);
-      job_of (v.victim)->pending++;
-      post (job_of (v.victim), on_pushed_out);
+      job_of (v.evicted)->pending++;
+      post (job_of (v.evicted), on_pushed_out);
     }
   return NULL;
 }
@@ -227,8 +227,9 @@
     {
       route_sent (s->routes, c.endpoint,
                   q.prompt_tokens - c.cached_tokens - c.import_tokens, now_us);
-      pfx_sent (s->prefixes, c.endpoint, q.prompt_tokens - c.cached_tokens);
-      pfx_learn (s->prefixes, j->digests, j->ndigests, c.endpoint);
+      pfx_add_filled (s->prefixes, c.endpoint,
+                      q.prompt_tokens - c.cached_tokens);
+      pfx_record (s->prefixes, j->digests, j->ndigests, c.endpoint);
     }
   return c;
 }
@@ -237,7 +238,7 @@
 static int
 share_of (struct server *s, const struct service *sv, int64_t now_us)
 {
-  int places = route_places (s->routes, sv->index, now_us);
+  int places = route_slots (s->routes, sv->index, now_us);
   int share = (int)(places * sv->cfg->share_percent / 100);
 
   return share > 0 ? share : 1;
@@ -255,7 +256,7 @@
     {
       g_mutex_lock (&s->lim_lock);
       g_mutex_lock (&s->route_lock);
-      e = fq_pop (&sv->queue, route_free_places (s->routes, sv->index, now_us),
+      e = fq_pop (&sv->queue, route_free_slots (s->routes, sv->index, now_us),
                   share_of (s, sv, now_us));
       j = e ? job_of (e) : NULL;
       if (j != NULL)
@@ -309,7 +310,7 @@
   met_add (MET_RUNNING, -1);
   g_mutex_lock (&s->lim_lock);
   fq_finished (flow_of (j));
-  fq_held (&j->service->queue, now_us - j->held_us);
+  fq_add_hold_time (&j->service->queue, now_us - j->held_us);
   g_mutex_lock (&s->route_lock);
   route_done (s->routes, j->choice.endpoint);
   g_mutex_unlock (&s->route_lock);
@@ -347,7 +348,7 @@
            (gint64)c->queue_us, (gint64)c->compute_us, (gint64)c->network_us,
            (gint64)c->cached_tokens, (gint64)c->import_tokens,
            (gint64)c->import_us, (gint64)c->score,
-           (gint64)j->prompt.prompt_tokens, c->candidates, c->near);
+           (gint64)j->prompt.prompt_tokens, c->candidates, c->near_best);
 }
 
 /* On the job's own thread: a place was found, or none can be. */
--- a/regress/drive.c
+++ b/regress/drive.c
@@ -164,8 +164,8 @@
                (int)option_number ("places", 1), number (4));
   printf ("%s: %s, expected wait %" G_GINT64_FORMAT " us", e->name,
           names[v.code], (gint64)v.wait_us);
-  if (v.victim != NULL)
-    printf (", pushes out %s", entry_name (v.victim));
+  if (v.evicted != NULL)
+    printf (", pushes out %s", entry_name (v.evicted));
   putchar ('\n');
 }
 
@@ -260,7 +260,7 @@
   r.leaving = option_number ("leaving", 0) != 0;
   g_strlcpy (r.version, option ("version", "v1"), sizeof r.version);
   g_strlcpy (r.incarnation, option ("incarnation", "1"), sizeof r.incarnation);
-  route_reported (routes, endpoint (word (1)), &r);
+  route_set_report (routes, endpoint (word (1)), &r);
 }
 
 /* pick TIME [tokens=N] [version=V] [hit=NAME:BLOCKS] [not=NAME] [count=N] */
@@ -285,7 +285,7 @@
 
       h.endpoint = endpoint (parts[0]);
       h.blocks = atoi (parts[1]);
-      h.permille = 1000;
+      h.probability_permille = 1000;
       q.hits = &h;
       q.nhits = 1;
     }
@@ -308,7 +308,7 @@
               " us, cached %" G_GINT64_FORMAT ", near %d of %d\n",
               route_get (routes, c.endpoint)->opts.name, (gint64)c.cost_us,
               (gint64)c.queue_us, (gint64)c.compute_us, (gint64)c.network_us,
-              (gint64)c.cached_tokens, c.near, c.candidates);
+              (gint64)c.cached_tokens, c.near_best, c.candidates);
       route_sent (routes, c.endpoint, q.prompt_tokens - c.cached_tokens,
                   number (1));
     }
@@ -394,7 +394,7 @@
 do_chance (void)
 {
   printf ("%" G_GINT64_FORMAT " in a million\n",
-          (gint64)keep_chance_ppm (&keep, number (1) * CQ_US_PER_S,
+          (gint64)keep_return_ppm (&keep, number (1) * CQ_US_PER_S,
                                    number (2) * CQ_US_PER_S));
 }
 
@@ -409,7 +409,7 @@
   in.age_us = number (1) * CQ_US_PER_S;
   in.span_us = 21600 * CQ_US_PER_S;
   printf ("%" G_GINT64_FORMAT " us a megabyte\n",
-          (gint64)keep_worth (&keep, &in));
+          (gint64)keep_value_us (&keep, &in));
 }
 
 /* --- claims ---------------------------------------------------------- */
@@ -425,7 +425,7 @@
   r.digest = word (3);
   r.give_up_ms = number (4);
   printf ("%s\n",
-          claim_name (claim_judge (&r, word (5), word (6), number (7))));
+          claim_name (claim_evaluate (&r, word (5), word (6), number (7))));
 }
 
 static void
--- a/regress/test-admit.c
+++ b/regress/test-admit.c
@@ -65,11 +65,12 @@
 static void
 saw (struct world *w, const struct place *p, const struct ask *a)
 {
-  struct admit_seen seen = { .running = p->nrunning, .waiting = p->nwaiting };
+  struct admit_sample seen
+      = { .running = p->nrunning, .waiting = p->nwaiting };
 
   seen.wait_us = (w->now_ms - a->sent_ms) * MS;
   seen.target_us = AIM_MS * MS;
-  admit_answered (&w->admits[a->vm], &seen, w->now_ms * MS);
+  admit_add_sample (&w->admits[a->vm], &seen, w->now_ms * MS);
 }
 
 /* A place came free: the oldest that did not leave begins. */
@@ -128,11 +129,11 @@
   int rank, keep;
 
   rank = admit_rank (0, w->now_ms > a.first_ms);
-  admit_ask (admit, rank, 1, now_us);
+  admit_add_demand (admit, rank, 1, now_us);
   if (q->nrunning + q->nwaiting < p->nrunning + p->nwaiting)
     p = q;
-  keep = admit_keep_rank (admit, rank, admit_keep (admit, now_us));
-  if ((w->steered && g_rand_int_range (w->rand, 0, SHARE_ALL) >= keep)
+  keep = admit_rank_permille (admit, rank, admit_permille (admit, now_us));
+  if ((w->steered && g_rand_int_range (w->rand, 0, CQ_PERMILLE) >= keep)
       || p->nwaiting == QUEUE)
     {
       refuse (w, &a);
@@ -254,7 +255,7 @@
 static void
 test_silent (void)
 {
-  struct admit_seen full = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample full = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
   struct admit a;
   int i;
 
@@ -262,9 +263,9 @@
   full.waiting = QUEUE;
   admit_init (&a);
   for (i = 0; i < 100; i++)
-    admit_answered (&a, &full, (int64_t)(i + 1) * 100 * MS);
-  g_assert_cmpint (admit_keep (&a, 10 * CQ_US_PER_S), <, 200);
-  g_assert_cmpint (admit_keep (&a, 13 * CQ_US_PER_S), ==, SHARE_ALL);
+    admit_add_sample (&a, &full, (int64_t)(i + 1) * 100 * MS);
+  g_assert_cmpint (admit_permille (&a, 10 * CQ_US_PER_S), <, 200);
+  g_assert_cmpint (admit_permille (&a, 13 * CQ_US_PER_S), ==, CQ_PERMILLE);
 }
 
 /* An answer took three times as long as it should, and nobody waited there:
@@ -272,15 +273,16 @@
 static void
 test_slow_alone (void)
 {
-  struct admit_seen slow = { .wait_us = 1200 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample slow
+      = { .wait_us = 1200 * MS, .target_us = AIM_MS * MS };
   struct admit a;
   int i;
 
   slow.running = 2;
   admit_init (&a);
   for (i = 0; i < 100; i++)
-    admit_answered (&a, &slow, (int64_t)(i + 1) * 100 * MS);
-  g_assert_cmpint (admit_keep (&a, 10 * CQ_US_PER_S), >=, 990);
+    admit_add_sample (&a, &slow, (int64_t)(i + 1) * 100 * MS);
+  g_assert_cmpint (admit_permille (&a, 10 * CQ_US_PER_S), >=, 990);
 }
 
 /*
@@ -292,8 +294,9 @@
 static void
 test_one_behind (void)
 {
-  struct admit_seen calm = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
-  struct admit_seen behind = { .wait_us = 400 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample calm = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample behind
+      = { .wait_us = 400 * MS, .target_us = AIM_MS * MS };
   g_autoptr (GRand) rand = g_rand_new_with_seed (1);
   int64_t refused = 0;
   struct admit a;
@@ -307,12 +310,12 @@
     {
       bool hot = g_rand_int_range (rand, 0, 48) == 0;
 
-      admit_answered (&a, hot ? &behind : &calm, (int64_t)i * 200 * MS);
-      refused += SHARE_ALL - admit_keep (&a, (int64_t)i * 200 * MS);
+      admit_add_sample (&a, hot ? &behind : &calm, (int64_t)i * 200 * MS);
+      refused += CQ_PERMILLE - admit_permille (&a, (int64_t)i * 200 * MS);
     }
   g_test_message ("%d permille refused", (int)(refused / n));
   /* Not an assertion, which would end the tests behind this one. */
-  if (refused / n >= SHARE_ALL / 100)
+  if (refused / n >= CQ_PERMILLE / 100)
     g_test_fail ();
 }
 
@@ -324,13 +327,13 @@
   struct admit a;
 
   admit_init (&a);
-  admit_ask (&a, 0, 200, 0);
-  admit_ask (&a, 5, 300, 0);
-  admit_ask (&a, 9, 500, 0);
-  g_assert_cmpint (admit_keep_rank (&a, 0, 400), ==, SHARE_ALL);
-  g_assert_cmpint (admit_keep_rank (&a, 5, 400), ==, 500);
-  g_assert_cmpint (admit_keep_rank (&a, 9, 400), ==, 100);
-  g_assert_cmpint (admit_keep_rank (&a, 9, SHARE_ALL), ==, SHARE_ALL);
+  admit_add_demand (&a, 0, 200, 0);
+  admit_add_demand (&a, 5, 300, 0);
+  admit_add_demand (&a, 9, 500, 0);
+  g_assert_cmpint (admit_rank_permille (&a, 0, 400), ==, CQ_PERMILLE);
+  g_assert_cmpint (admit_rank_permille (&a, 5, 400), ==, 500);
+  g_assert_cmpint (admit_rank_permille (&a, 9, 400), ==, 100);
+  g_assert_cmpint (admit_rank_permille (&a, 9, CQ_PERMILLE), ==, CQ_PERMILLE);
 }
 
 /* Callers of a route have 2.6 to 3 s; one who has 1.9 s left was refused
@@ -342,8 +345,8 @@
   int i;
 
   for (i = 0; i < 100; i++)
-    g_assert_false (admit_has_returned (&usual, (2600 + i * 7 % 400) * MS));
-  g_assert_true (admit_has_returned (&usual, 1900 * MS));
+    g_assert_false (admit_is_retry (&usual, (2600 + i * 7 % 400) * MS));
+  g_assert_true (admit_is_retry (&usual, 1900 * MS));
   g_assert_cmpint (admit_rank (0, true), >, admit_rank (9, false));
 }
 
--- a/regress/test-share.c
+++ b/regress/test-share.c
@@ -23,10 +23,10 @@
       for (w = 0; w < CALM; w++)
         {
           g_snprintf (name, sizeof name, "calm%d", w);
-          share_ask (s, name, 100, at_us + i * S / 10);
+          share_add_demand (s, name, 100, at_us + i * S / 10);
         }
       for (w = 0; w < loud / 10; w++)
-        share_ask (s, "loud", 100, at_us + i * S / 10);
+        share_add_demand (s, "loud", 100, at_us + i * S / 10);
     }
 }
 
@@ -44,10 +44,10 @@
 
   for (t = 0; t < 5; t++)
     play_second (&s, t * S, 100);
-  g_assert_cmpint (share_keep (&s, "calm3", 600), ==, SHARE_ALL);
-  g_assert_cmpint (share_keep (&s, "loud", 600), >=, 220);
-  g_assert_cmpint (share_keep (&s, "loud", 600), <=, 260);
-  g_assert_cmpint (share_keep (&s, "loud", SHARE_ALL), ==, SHARE_ALL);
+  g_assert_cmpint (share_permille (&s, "calm3", 600), ==, CQ_PERMILLE);
+  g_assert_cmpint (share_permille (&s, "loud", 600), >=, 220);
+  g_assert_cmpint (share_permille (&s, "loud", 600), <=, 260);
+  g_assert_cmpint (share_permille (&s, "loud", CQ_PERMILLE), ==, CQ_PERMILLE);
 }
 
 /* All ask for the same: all lose the same. */
@@ -57,10 +57,10 @@
   struct share s = { .n = 0 };
 
   play_second (&s, 0, 10);
-  g_assert_cmpint (share_keep (&s, "calm3", 600), >=, 590);
-  g_assert_cmpint (share_keep (&s, "calm3", 600), <=, 600);
-  g_assert_cmpint (share_keep (&s, "loud", 600), ==,
-                   share_keep (&s, "calm3", 600));
+  g_assert_cmpint (share_permille (&s, "calm3", 600), >=, 590);
+  g_assert_cmpint (share_permille (&s, "calm3", 600), <=, 600);
+  g_assert_cmpint (share_permille (&s, "loud", 600), ==,
+                   share_permille (&s, "calm3", 600));
 }
 
 /* One workspace alone loses what must be lost. */
@@ -69,8 +69,8 @@
 {
   struct share s = { .n = 0 };
 
-  share_ask (&s, "loud", 100, 0);
-  g_assert_cmpint (share_keep (&s, "loud", 600), ==, 600);
+  share_add_demand (&s, "loud", 100, 0);
+  g_assert_cmpint (share_permille (&s, "loud", 600), ==, 600);
 }
 
 /* A burst is forgotten some seconds after it, and its entry is free again. */
@@ -83,8 +83,8 @@
   play_second (&s, 0, 100);
   for (t = 1; t < 20; t++)
     play_second (&s, t * S, 10);
-  g_assert_cmpint (share_keep (&s, "loud", 600), >=, 500);
-  share_ask (&s, "other", 100, 100 * S);
+  g_assert_cmpint (share_permille (&s, "loud", 600), >=, 500);
+  share_add_demand (&s, "other", 100, 100 * S);
   g_assert_cmpint (s.n, ==, 1);
 }
 
@@ -97,13 +97,13 @@
   char name[8];
   int i;
 
-  for (i = 0; i < 2 * SHARE_MAX; i++)
+  for (i = 0; i < 2 * SHARE_MAX_WORKSPACES; i++)
     {
       g_snprintf (name, sizeof name, "w%d", i);
-      share_ask (&s, name, 100, 0);
+      share_add_demand (&s, name, 100, 0);
     }
-  g_assert_cmpint (s.n, ==, SHARE_MAX);
-  g_assert_cmpint (share_keep (&s, name, 600), ==, 600);
+  g_assert_cmpint (s.n, ==, SHARE_MAX_WORKSPACES);
+  g_assert_cmpint (share_permille (&s, name, 600), ==, 600);
 }
 
 const struct unit share_units[] = {
--- a/regress/test-units.c
+++ b/regress/test-units.c
@@ -83,18 +83,18 @@
   struct out_verdict v;
   int sent, bits, not_run = 0;
 
-  for (sent = SEND_NONE; sent <= SEND_WHOLE; sent++)
+  for (sent = SEND_NONE; sent <= SEND_COMPLETE; sent++)
     for (bits = 0; bits < 128; bits++)
       {
         f = (struct out_facts){ .sent = (enum send_state)sent };
         f.status = bits & 1 ? 200 : 500;
-        f.repeatable = bits & 2;
+        f.idempotent = bits & 2;
         f.ran_before = bits & 4;
         f.caller_has_bytes = bits & 8;
         f.resumable = bits & 16;
         f.attempts_left = bits & 32;
         f.deadline_passed = bits & 64;
-        v = out_judge (&f);
+        v = out_evaluate (&f);
         if (v.next == NEXT_FINISH && v.outcome == OUT_NOT_RUN)
           {
             not_run++;
@@ -112,7 +112,7 @@
   struct out_facts f;
   int sent, bits;
 
-  for (sent = SEND_PARTIAL; sent <= SEND_WHOLE; sent++)
+  for (sent = SEND_PARTIAL; sent <= SEND_COMPLETE; sent++)
     for (bits = 0; bits < 64; bits++)
       {
         if (sent == SEND_REFUSED)
@@ -124,7 +124,7 @@
         f.resumable = bits & 8;
         f.attempts_left = bits & 16;
         f.deadline_passed = bits & 32;
-        g_assert_cmpint (out_judge (&f).next, ==, NEXT_FINISH);
+        g_assert_cmpint (out_evaluate (&f).next, ==, NEXT_FINISH);
       }
 }
 
@@ -132,16 +132,16 @@
 static void
 test_no_doubled_stream (void)
 {
-  struct out_facts f = { .repeatable = true, .attempts_left = true };
+  struct out_facts f = { .idempotent = true, .attempts_left = true };
   int sent;
 
   f.caller_has_bytes = true;
   f.status = 500;
-  for (sent = SEND_PARTIAL; sent <= SEND_WHOLE; sent++)
+  for (sent = SEND_PARTIAL; sent <= SEND_COMPLETE; sent++)
     if (sent != SEND_REFUSED)
       {
         f.sent = (enum send_state)sent;
-        g_assert_cmpint (out_judge (&f).next, !=, NEXT_RETRY);
+        g_assert_cmpint (out_evaluate (&f).next, !=, NEXT_RETRY);
       }
 }
 
@@ -243,9 +243,9 @@
       report.queued_tokens = g_rand_int_range (r, 0, 5000);
       g_strlcpy (report.version, versions[g_rand_int_range (r, 0, 2)],
                  sizeof report.version);
-      route_reported (t, i, &report);
+      route_set_report (t, i, &report);
       if (g_rand_int_range (r, 0, 5) == 0)
-        route_result (t, i, ROUTE_UNREACHED, 1000);
+        route_result (t, i, ROUTE_UNREACHABLE, 1000);
       route_get (t, i)->draining = g_rand_int_range (r, 0, 8) == 0;
     }
   return t;
@@ -280,7 +280,7 @@
       q.prompt_tokens = g_rand_int_range (r, 0, 4000);
       hits[0].endpoint = g_rand_int_range (r, 0, 40);
       hits[0].blocks = g_rand_int_range (r, 1, 30);
-      hits[0].permille = 1000;
+      hits[0].probability_permille = 1000;
       q.nhits = g_rand_int_range (r, 0, 2);
       best = naive_best (t, &q, now);
       c = route_pick (t, &q, now);
@@ -318,13 +318,13 @@
     {
       route_add (t, &o);
       report.queued_tokens = i * INT64_C (10);
-      route_reported (t, i, &report);
+      route_set_report (t, i, &report);
     }
   for (i = 0; i < 1000; i++)
     good += route_pick (t, &q, 2).endpoint < 66;
   g_assert_cmpint (good, >, 950);
   report.queued_tokens = 0;
-  route_reported (t, 333, &report);
+  route_set_report (t, 333, &report);
   q.hits = &hit;
   q.nhits = 1;
   for (i = 0; i < 1000; i++)
@@ -355,7 +355,7 @@
       for (i = 0; i < 10; i++)
         {
           route_add (t, &o);
-          route_reported (t, i, &report);
+          route_set_report (t, i, &report);
         }
       for (i = 0; i < 25; i++)
         {
@@ -425,10 +425,10 @@
           g_assert_cmpint (hits[0].blocks, ==, 8);
         }
       last[c] = g_rand_int_range (r, 0, 6);
-      pfx_learn (p, chains[c], 8, last[c]);
+      pfx_record (p, chains[c], 8, last[c]);
       if (g_rand_int_range (r, 0, 500) == 0)
         {
-          pfx_forget_endpoint (p, 3);
+          pfx_invalidate_endpoint (p, 3);
           for (i = 0; i < 50; i++)
             if (last[i] == 3)
               {
@@ -453,7 +453,7 @@
   for (i = 0; i < 10000; i++)
     {
       digest = (uint64_t)i;
-      pfx_learn (p, &digest, 1, i % 7);
+      pfx_record (p, &digest, 1, i % 7);
     }
   g_assert_cmpint (pfx_count (p), ==, 100);
   pfx_free (p);
@@ -536,7 +536,7 @@
           for (i = (int)list->len; i-- > 0;)
             if (g_array_index (list, struct naive_copy, i).store == c.store)
               g_array_remove_index (list, (guint)i);
-          dir_forget_store (d, c.store);
+          dir_remove_store (d, c.store);
           break;
         default:
           naive_remove (list, c.digest, c.store, 0, true);
--- a/relay.c
+++ b/relay.c
@@ -343,9 +343,10 @@
     }
   r = relay_new (rs, d, route, now_us);
   r->workspace = workspace;
-  share_ask (&r->shared->share, relay_workspace (r), work_of (d), now_us);
+  share_add_demand (&r->shared->share, relay_workspace (r), work_of (d),
+                    now_us);
   r->rank = relay_rank (r, now_us);
-  admit_ask (&r->shared->admit, r->rank, work_of (d), now_us);
+  admit_add_demand (&r->shared->admit, r->rank, work_of (d), now_us);
   /* Held as if a message were under way, so that it outlives this call. */
   r->unpausing = true;
   relay_place (r, now_us);
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -62,7 +62,7 @@
     }
   /* No more than the route allows: one caller's hour would make all others
      look as if they returned. */
-  return admit_has_returned (usual, r->end_us - now_us);
+  return admit_is_retry (usual, r->end_us - now_us);
 }
 
 int
@@ -78,9 +78,9 @@
 log_admission (struct relay *r, int64_t now_us)
 {
   struct relay_service *s = r->shared;
-  int keep = admit_keep (&s->admit, now_us);
+  int keep = admit_permille (&s->admit, now_us);
 
-  if (s->limited ? keep < SHARE_ALL : keep >= LIMITED_BELOW)
+  if (s->limited ? keep < CQ_PERMILLE : keep >= LIMITED_BELOW)
     return;
   s->limited = !s->limited;
   log_event (LOG_LEVEL_INFO, "admission",
@@ -94,7 +94,7 @@
 void
 relay_waited (struct relay *r, int64_t now_us)
 {
-  struct admit_seen seen = { .running = r->running, .waiting = r->waiting };
+  struct admit_sample seen = { .running = r->running, .waiting = r->waiting };
 
   seen.wait_us = now_us - r->sent_us;
   seen.target_us = r->route->target_us;
@@ -102,7 +102,7 @@
   /* A caller who leaves early does so for reasons of its own. */
   if (r->first_us == 0 && seen.wait_us < seen.target_us)
     return;
-  admit_answered (&r->shared->admit, &seen, now_us);
+  admit_add_sample (&r->shared->admit, &seen, now_us);
   log_admission (r, now_us);
 }
 
@@ -128,12 +128,12 @@
 {
   const struct relay_service *s = r->shared;
   int64_t enough = patience_us (r) / PATIENCE_SHARE;
-  int keep = admit_keep (&s->admit, now_us);
+  int keep = admit_permille (&s->admit, now_us);
 
   if (wait_us > enough)
-    keep = MIN (keep, (int)(enough * SHARE_ALL / wait_us));
-  keep = admit_keep_rank (&s->admit, r->rank, keep);
-  return share_keep (&s->share, relay_workspace (r), keep);
+    keep = MIN (keep, (int)(enough * CQ_PERMILLE / wait_us));
+  keep = admit_rank_permille (&s->admit, r->rank, keep);
+  return share_permille (&s->share, relay_workspace (r), keep);
 }
 
 /*
@@ -151,7 +151,7 @@
   int64_t wait = now_us - r->arrived_us + c->wait_us;
 
   if (r->route->kind != FLEET_STREAM || r->begun)
-    return SHARE_ALL;
+    return CQ_PERMILLE;
   if (r->arrived_us + wait > r->end_us)
     return 0;
   return share_let_in (r, wait, now_us);
@@ -168,7 +168,7 @@
              "admit=%d pressure=%" G_GINT64_FORMAT " wait_us=%" G_GINT64_FORMAT
              " left_us=%" G_GINT64_FORMAT " candidates=%d over_bound=%d",
              r->desc.id, r->route->name, c->endpoint->is.id,
-             relay_workspace (r), r->rank, keep, admit_keep (a, now_us),
+             relay_workspace (r), r->rank, keep, admit_permille (a, now_us),
              (gint64)a->pressure,
              (gint64)(now_us - r->arrived_us + c->wait_us),
              (gint64)(r->end_us - now_us), c->candidates, c->over_bound);
--- a/relayquar.c
+++ b/relayquar.c
@@ -102,7 +102,7 @@
 static bool
 was_answered (const struct relay *r, enum send_state sent)
 {
-  return sent == SEND_WHOLE && r->stopped == NULL && r->status < 500;
+  return sent == SEND_COMPLETE && r->stopped == NULL && r->status < 500;
 }
 
 static void
--- a/relaytry.c
+++ b/relaytry.c
@@ -37,7 +37,7 @@
 give_up_unplaced (struct relay *r, const char *reason, int64_t wait_us,
                   int64_t now_us)
 {
-  relay_give_up (r, out_refused (r->ran, relay_repeatable (r)), reason,
+  relay_give_up (r, out_abandoned (r->ran, relay_repeatable (r)), reason,
                  retry_after (r, wait_us), now_us);
 }
 
@@ -49,7 +49,7 @@
 static void
 give_up_held (struct relay *r, int64_t now_us)
 {
-  relay_give_up (r, out_refused (true, relay_repeatable (r)),
+  relay_give_up (r, out_abandoned (true, relay_repeatable (r)),
                  "crashes_endpoints", 0, now_us);
 }
 
@@ -279,7 +279,7 @@
   if (!whole || r->stopped != NULL
       || (r->streaming && evt_in_part (&r->events)))
     return SEND_REPLIED;
-  return SEND_WHOLE;
+  return SEND_COMPLETE;
 }
 
 static struct out_verdict
@@ -287,13 +287,13 @@
 {
   struct out_facts f = { .sent = sent, .status = r->status };
 
-  f.repeatable = relay_repeatable (r);
+  f.idempotent = relay_repeatable (r);
   f.ran_before = r->ran;
   f.caller_has_bytes = r->begun;
   f.resumable = r->route->resumable;
   f.attempts_left = left;
   f.deadline_passed = now_us >= r->end_us;
-  return out_judge (&f);
+  return out_evaluate (&f);
 }
 
 /* Whether another endpoint may do in its place. */
@@ -345,7 +345,7 @@
 {
   struct fleet_endpoint *e = r->endpoint;
 
-  if (sent == SEND_WHOLE)
+  if (sent == SEND_COMPLETE)
     pick_worked (e);
   else if (sent == SEND_REFUSED)
     pick_refused (e, now_us);
@@ -403,7 +403,7 @@
   struct out_verdict v = judge_with_budget (r, sent, now_us);
   const char *reason = r->stopped != NULL ? r->stopped : v.reason;
 
-  if (sent != SEND_WHOLE || v.next != NEXT_FINISH)
+  if (sent != SEND_COMPLETE || v.next != NEXT_FINISH)
     log_attempt (r, sent, &v, reason, error, now_us);
   tell_picking (r, sent, now_us);
   relay_observe (r, sent, now_us);
@@ -413,7 +413,7 @@
     r->ran = true;
   remember_tried (r);
   relay_leave (r, now_us);
-  if (v.next == NEXT_FINISH && sent == SEND_WHOLE)
+  if (v.next == NEXT_FINISH && sent == SEND_COMPLETE)
     answer (r, v.outcome, v.reason, now_us);
   else if (v.next == NEXT_FINISH)
     relay_give_up (r, v.outcome, reason, retry_after (r, RETRY_SOON_US),
@@ -594,7 +594,7 @@
 {
   int keep = relay_let_in (r, c, now_us);
 
-  if (keep >= SHARE_ALL || (int)(relay_draw (r->rs) % SHARE_ALL) < keep)
+  if (keep >= CQ_PERMILLE || (int)(relay_draw (r->rs) % CQ_PERMILLE) < keep)
     return false;
   relay_log_late (r, c, keep, now_us);
   return true;
@@ -610,7 +610,7 @@
       = (int64_t)(relay_draw (r->rs) % (uint64_t)(wait / RETURN_SPREAD_PART));
 
   met_add (MET_OVERLOAD, 1);
-  relay_give_up (r, out_refused (r->ran, relay_repeatable (r)), "too_late",
+  relay_give_up (r, out_abandoned (r->ran, relay_repeatable (r)), "too_late",
                  wait - spread, now_us);
 }
 
--- a/route.c
+++ b/route.c
@@ -119,7 +119,8 @@
 enum route_state
 route_state (const struct route_endpoint *e, int64_t now_us)
 {
-  if (e->left[0] != '\0' && strcmp (e->left, e->report.incarnation) == 0)
+  if (e->leaving_incarnation[0] != '\0'
+      && strcmp (e->leaving_incarnation, e->report.incarnation) == 0)
     return ROUTE_LEAVING;
   if (e->draining || e->removed)
     return ROUTE_DRAINING;
@@ -148,7 +149,7 @@
 static int
 load_of (const struct route_endpoint *e)
 {
-  int reported = e->report.running + sent_since (e) - e->done_since;
+  int reported = e->report.running + sent_since (e) - e->done_since_report;
 
   return reported > e->running ? reported : e->running;
 }
@@ -192,7 +193,7 @@
         cached = (int64_t)q->hits[i].blocks * q->block_tokens;
         if (cached > q->prompt_tokens)
           cached = q->prompt_tokens;
-        return cached * q->hits[i].permille / 1000;
+        return cached * q->hits[i].probability_permille / 1000;
       }
   return 0;
 }
@@ -295,7 +296,7 @@
       t->scratch[near++] = t->scratch[i];
   assert (near > 0);
   pick = (int)(next_random (t) % (uint64_t)near);
-  t->scratch[pick].near = near;
+  t->scratch[pick].near_best = near;
   return pick;
 }
 
@@ -376,7 +377,7 @@
 
 /* Places of a service in all, at endpoints that may get new work. */
 int
-route_places (const struct route_table *t, int service, int64_t now_us)
+route_slots (const struct route_table *t, int service, int64_t now_us)
 {
   int places = 0;
   int i;
@@ -389,7 +390,7 @@
 }
 
 int
-route_free_places (const struct route_table *t, int service, int64_t now_us)
+route_free_slots (const struct route_table *t, int service, int64_t now_us)
 {
   int places = 0;
   int i;
@@ -419,17 +420,17 @@
   struct route_endpoint *e = &t->endpoints[endpoint];
 
   e->running--;
-  e->done_since++;
+  e->done_since_report++;
 }
 
 static void
 eject (struct route_endpoint *e, int64_t now_us)
 {
-  int doublings
-      = e->fails < EJECT_MAX_DOUBLINGS ? e->fails : EJECT_MAX_DOUBLINGS;
+  int doublings = e->ejections < EJECT_MAX_DOUBLINGS ? e->ejections
+                                                     : EJECT_MAX_DOUBLINGS;
 
   e->retry_us = now_us + (EJECT_BASE_US << doublings);
-  e->fails++;
+  e->ejections++;
 }
 
 /*
@@ -446,15 +447,15 @@
   switch (result)
     {
     case ROUTE_REACHED:
-      e->fails = 0;
-      e->breaks = 0;
+      e->ejections = 0;
+      e->broken_conns = 0;
       e->retry_us = 0;
       break;
-    case ROUTE_BROKE:
-      if (++e->breaks >= EJECT_BREAKS)
+    case ROUTE_CONN_BROKEN:
+      if (++e->broken_conns >= EJECT_BREAKS)
         eject (e, now_us);
       break;
-    case ROUTE_UNREACHED:
+    case ROUTE_UNREACHABLE:
       eject (e, now_us);
       break;
     }
@@ -466,15 +467,16 @@
  * the endpoint does.
  */
 void
-route_reported (struct route_table *t, int endpoint,
-                const struct route_report *report)
+route_set_report (struct route_table *t, int endpoint,
+                  const struct route_report *report)
 {
   struct route_endpoint *e = &t->endpoints[endpoint];
 
   e->report = *report;
-  e->done_since = 0;
+  e->done_since_report = 0;
   if (report->leaving)
-    g_strlcpy (e->left, report->incarnation, sizeof e->left);
+    g_strlcpy (e->leaving_incarnation, report->incarnation,
+               sizeof e->leaving_incarnation);
 }
 
 const char *
--- a/share.c
+++ b/share.c
@@ -12,14 +12,14 @@
 /* After so many steps nothing that matters is left. */
 #define STEPS_MAX 64
 
-static struct share_entry *
+static struct share_workspace *
 find (const struct share *s, const char *name)
 {
   int i;
 
   for (i = 0; i < s->n; i++)
     if (strcmp (s->entries[i].name, name) == 0)
-      return (struct share_entry *)&s->entries[i];
+      return (struct share_workspace *)&s->entries[i];
   return NULL;
 }
 
@@ -27,7 +27,7 @@
 static void
 age (struct share *s)
 {
-  struct share_entry *e;
+  struct share_workspace *e;
   int i;
 
   for (i = s->n - 1; i >= 0; i--)
@@ -44,24 +44,24 @@
 {
   int i;
 
-  for (i = 0; i < STEPS_MAX && now_us - s->aged_us >= STEP_US; i++)
+  for (i = 0; i < STEPS_MAX && now_us - s->decayed_us >= STEP_US; i++)
     {
       age (s);
-      s->aged_us += STEP_US;
+      s->decayed_us += STEP_US;
     }
-  if (now_us - s->aged_us >= STEP_US)
-    s->aged_us = now_us;
+  if (now_us - s->decayed_us >= STEP_US)
+    s->decayed_us = now_us;
 }
 
 void
-share_ask (struct share *s, const char *workspace, int64_t work,
-           int64_t now_us)
+share_add_demand (struct share *s, const char *workspace, int64_t work,
+                  int64_t now_us)
 {
-  struct share_entry *e;
+  struct share_workspace *e;
 
   age_until (s, now_us);
   e = find (s, workspace);
-  if (e == NULL && s->n < SHARE_MAX)
+  if (e == NULL && s->n < SHARE_MAX_WORKSPACES)
     {
       e = &s->entries[s->n++];
       g_strlcpy (e->name, workspace, sizeof e->name);
@@ -117,16 +117,17 @@
  * equal share loses nothing.
  */
 int
-share_keep (const struct share *s, const char *workspace, int keep)
+share_permille (const struct share *s, const char *workspace, int keep)
 {
-  const struct share_entry *e = find (s, workspace);
+  const struct share_workspace *e = find (s, workspace);
   int64_t level;
 
-  if (e == NULL || e->work == 0 || keep >= SHARE_ALL)
+  if (e == NULL || e->work == 0 || keep >= CQ_PERMILLE)
     return keep;
-  level = level_of (s, asked_by_all (s) / SHARE_ALL * keep
-                           + asked_by_all (s) % SHARE_ALL * keep / SHARE_ALL);
+  level = level_of (s,
+                    asked_by_all (s) / CQ_PERMILLE * keep
+                        + asked_by_all (s) % CQ_PERMILLE * keep / CQ_PERMILLE);
   if (e->work <= level)
-    return SHARE_ALL;
-  return (int)(level * SHARE_ALL / e->work);
+    return CQ_PERMILLE;
+  return (int)(level * CQ_PERMILLE / e->work);
 }
