--- a/budget.c
+++ b/budget.c
@@ -1,11 +1,11 @@
-/* Retry budget: retries may be only a share of first attempts. */
+/* Retry budget: limits retries to a share of first attempts. */
 #include "decide.h"
 
 #define MILLI INT64_C (1000)
 
 /*
- * PERCENT of first attempts may be retried; BURST retries are allowed before
- * any were earned, so that a lightly used service can retry at all.
+ * PERCENT of first attempts may be retried.  The budget starts with BURST
+ * retries, its upper bound, so that a service with little load can retry.
  */
 void
 budget_init (struct budget *b, int percent, int burst)
--- a/claim.c
+++ b/claim.c
@@ -1,15 +1,15 @@
-/* Claims: at most one run of a call that may not repeat. */
+/* Claims: at most one run of a non-idempotent call. */
 #include "decide.h"
 
 #include <string.h>
 
 /*
- * Judge the row that stands under an idempotency key.
+ * Evaluates the row stored under an idempotency key.
  *
- * A lost reply to our own insert is found here: the row carries our attempt
- * id, so the run is ours after all.  Any other attempt's row means that the
- * call may have been sent; no time-out ever makes it ours, because the owner
- * may be paused between its claim and its send.
+ * If the reply to our own insert was lost, the row carries our attempt id, so
+ * the run is ours.  A row of another attempt means that the call may have been
+ * sent.  No timeout transfers the claim, because its owner may be paused
+ * between the claim and the send.
  */
 enum claim_code
 claim_evaluate (const struct claim_row *row, const char *attempt,
@@ -27,9 +27,10 @@
 }
 
 /*
- * Last check before the first byte of a claimed call leaves.  A VM that was
- * paused after its claim would otherwise send a call whose caller has long
- * been told "unknown"; the clock must go on while the VM is suspended.
+ * Last check before the first byte of a claimed call is sent.  Without it a VM
+ * that was paused after its claim could send a call whose caller has already
+ * received the outcome "unknown".  The clock must include the time during
+ * which the VM is suspended.
  */
 bool
 claim_may_send (int64_t claimed_us, int64_t send_within_us, int64_t now_us)
--- a/decide.h
+++ b/decide.h
@@ -1,13 +1,14 @@
 /*
- * Public header of the deciding library.
+ * Public header of the decision library.
  *
- * Everything here is pure: state and the present time go in, a value and a
- * reason come out.  No function does I/O, takes a lock, reads a clock or uses
- * global randomness, so that a test or a bench can drive it with its own time.
+ * Functions are deterministic: they take state and the current time, and
+ * return a decision with its reason.  No function does I/O, takes a lock,
+ * reads a clock or uses global randomness, so that tests and benchmarks can
+ * run on simulated time.
  * The caller holds the lock that guards the state (see docs/DESIGN.md).
  *
- * Times are microseconds of a clock that never goes back (CLOCK_BOOTTIME in
- * the server); durations end in _us or _ms.
+ * Times are microseconds of a monotonic clock (CLOCK_BOOTTIME in the
+ * server); durations end in _us or _ms.
  */
 #ifndef CQ_DECIDE_H
 #define CQ_DECIDE_H
@@ -23,149 +24,155 @@
 #define CQ_US_PER_MS INT64_C (1000)
 #define CQ_US_PER_S INT64_C (1000000)
 
-/* --- outcome: what became of a request ------------------------------- */
+/* --- outcome: the result of a request --------------------------------- */
 
-/* What the caller is told.  These four words are part of the interface. */
+/* Outcome reported to the caller.  Its four names are part of the interface.
+ */
 enum outcome
 {
-  OUT_ANSWERED, /* the endpoint's own answer, whole */
-  OUT_NOT_RUN,  /* refused: nothing was run, asking again is safe */
-  OUT_UNKNOWN,  /* it may have run; the system will not run it again */
-  OUT_FAILED    /* it ran, and failed */
+  OUT_ANSWERED, /* the endpoint's complete answer */
+  OUT_NOT_RUN,  /* refused: nothing was run, so a retry is safe */
+  OUT_UNKNOWN,  /* it may have run and will not be retried */
+  OUT_FAILED    /* it may have run, and no attempt succeeded */
 };
 
-/* How far one attempt got; the adapter that sends reports only this. */
+/* Progress of one attempt, as reported by the adapter that sends it. */
 enum send_state
 {
-  SEND_NONE,    /* no byte was handed to a connection */
-  SEND_PARTIAL, /* a byte or more was handed over, no reply status yet */
-  SEND_REFUSED, /* the endpoint's declared refusal: it did not start */
-  SEND_REPLIED, /* a reply status arrived, the body is not whole */
-  SEND_COMPLETE /* the reply arrived whole */
+  SEND_NONE,    /* no byte was written to a connection */
+  SEND_PARTIAL, /* at least one byte was written, no reply status yet */
+  SEND_REFUSED, /* the endpoint replied that it did not start the request */
+  SEND_REPLIED, /* a reply status arrived, the body is incomplete */
+  SEND_COMPLETE /* the complete reply arrived */
 };
 
-/* What the request may do next. */
+/* Next action for a request. */
 enum out_next
 {
-  NEXT_FINISH, /* tell the caller */
-  NEXT_RETRY,  /* start over at another endpoint */
+  NEXT_FINISH, /* report the outcome to the caller */
+  NEXT_RETRY,  /* restart at another endpoint */
   NEXT_RESUME  /* continue at a token offset at another endpoint */
 };
 
-/* Facts on which one attempt is judged. */
+/* Inputs of the decision on one attempt. */
 struct out_facts
 {
   enum send_state sent;  /* how far the attempt got */
-  int status;            /* HTTP status when SEND_REPLIED or SEND_WHOLE */
+  int status;            /* HTTP status when SEND_REPLIED or SEND_COMPLETE */
   bool idempotent;       /* the service is declared idempotent */
   bool ran_before;       /* an earlier attempt may have run */
-  bool caller_has_bytes; /* part of an answer went to the caller */
+  bool caller_has_bytes; /* part of an answer was sent to the caller */
   bool resumable;        /* the stream can continue at a token offset */
-  bool attempts_left;    /* attempts and retry budget allow another */
+  bool attempts_left;    /* attempt limit and retry budget allow another */
   bool deadline_passed;  /* no time is left for another attempt */
 };
 
-/* Judgement on one attempt. */
+/* Decision on one attempt. */
 struct out_verdict
 {
   enum out_next next;   /* what to do */
-  enum outcome outcome; /* what to tell the caller if NEXT_FINISH */
-  const char *reason;   /* stable word for logs and error codes */
+  enum outcome outcome; /* reported to the caller if NEXT_FINISH */
+  const char *reason;   /* stable name for logs and error codes */
 };
 
-/* The word for an outcome, as in the Camphorquay-Outcome header. */
+/* Name of an outcome, as in the Camphorquay-Outcome header. */
 const char *out_name (enum outcome outcome);
 
 const char *out_send_name (enum send_state sent);
 const char *out_next_name (enum out_next next);
 
-/* Judge an attempt: the only place that may turn a send state into not-run. */
+/* Decides what follows an attempt.  No other function may derive not-run from
+   a send state. */
 struct out_verdict out_evaluate (const struct out_facts *facts);
 
-/* Outcome of giving up before the next attempt. */
-enum outcome out_abandoned (bool may_have_run, bool repeatable);
+/* Outcome of a request that is given up before its next attempt. */
+enum outcome out_abandoned (bool may_have_run, bool idempotent);
 
-/* --- share: whose requests are refused when some must be -------------- */
+/* --- share: fair shares of an overloaded service ---------------------- */
 
-#define SHARE_MAX_WORKSPACES 64 /* workspaces that are told apart */
-#define CQ_PERMILLE 1000        /* permille that stand for all requests */
-#define SHARE_NAME_SIZE 64      /* bytes of a workspace's name with its NUL */
+#define SHARE_MAX_WORKSPACES 64 /* workspaces that are tracked */
+#define CQ_PERMILLE 1000        /* one whole, in permille */
+#define SHARE_NAME_SIZE 64      /* bytes of a name with its NUL */
 
-/* What one workspace asked of a service lately. */
+/* Recent demand of one workspace on a service. */
 struct share_workspace
 {
-  char name[SHARE_NAME_SIZE]; /* of the workspace */
-  int64_t work;               /* asked for; old work counts for less */
+  char name[SHARE_NAME_SIZE]; /* workspace name */
+  int64_t demand;             /* work requested, decayed over time */
 };
 
-/* What workspaces asked of a service lately. */
+/* Recent demand of all workspaces on a service. */
 struct share
 {
   struct share_workspace
-      entries[SHARE_MAX_WORKSPACES]; /* the ones told apart */
+      entries[SHARE_MAX_WORKSPACES]; /* tracked workspaces */
   int n;                             /* entries in use */
-  int64_t decayed_us;                /* old work was last counted down */
+  int64_t decayed_us;                /* time of the last decay */
 };
 
-/* WORKSPACE asks for WORK, in any unit that is the same for all. */
+/* Adds WORK to the demand of WORKSPACE; the unit is the same for all. */
 void share_add_demand (struct share *s, const char *workspace, int64_t work,
                        int64_t now_us);
-/* Permille of the requests of WORKSPACE to keep, if KEEP of all work can be
-   kept: equal shares for all, and what one does not need for the others. */
-int share_permille (const struct share *s, const char *workspace, int keep);
+/* Permille of the requests of WORKSPACE to admit if PERMILLE of all work can
+   be served: max-min fair shares, so that what one workspace does not use
+   goes to the others. */
+int share_permille (const struct share *s, const char *workspace,
+                    int permille);
 
-/* --- admit: how much of what is asked of a service is let in ---------- */
+/* --- admit: admission control of an overloaded service ---------------- */
 
-/* Urgencies 0 to 9, 0 the most urgent, of callers who ask for the first time,
-   and behind them the same of those who return. */
+/* Ranks 0 to 9 are the urgencies of first requests, 0 the most urgent; ranks
+   10 to 19 are the same urgencies of retries. */
 #define ADMIT_RANKS 20
 
-/* Admission to one service, as one VM sees it. */
+/* Admission control of one service on one VM. */
 struct admit
 {
-  int permille;          /* permille of the work asked for that is let in */
-  int64_t pressure;      /* smoothed, permille of its aim */
-  int64_t prev_pressure; /* the same of the last step, not smoothed */
-  int64_t step_us;       /* when keep was changed last */
-  int64_t answered_us;   /* when the last answer came, 0 for never */
-  int answers;           /* since the last step */
-  int64_t pressure_sum;  /* of these answers, permille of the aim each */
-  int64_t demand[ADMIT_RANKS]; /* work asked for; old work counts less */
-  int64_t decayed_us;          /* when old work was last counted down */
+  int permille;          /* permille of the demand to admit */
+  int64_t pressure;      /* smoothed, in permille of its target */
+  int64_t prev_pressure; /* mean of the last step, not smoothed */
+  int64_t step_us;       /* start of the current step */
+  int64_t answered_us;   /* time of the last answer, 0 for none */
+  int answers;           /* in the current step */
+  int64_t pressure_sum; /* sum over these answers, in permille of the target */
+  int64_t demand[ADMIT_RANKS]; /* work requested by rank, decayed over time */
+  int64_t decayed_us;          /* time of the last decay */
 };
 
-/* What an answer shows of its endpoint. */
+/* What one answer shows about the load of its endpoint. */
 struct admit_sample
 {
-  int64_t wait_us;   /* for its first piece */
-  int64_t target_us; /* in which that should have come, 0 if unsaid */
-  int running;       /* requests that run there, -1 if unsaid */
-  int waiting;       /* requests that wait there */
+  int64_t wait_us;   /* time to its first chunk */
+  int64_t target_us; /* target for that time, 0 if none is declared */
+  int running;       /* requests running there, -1 if not reported */
+  int waiting;       /* requests queued there */
 };
 
 void admit_init (struct admit *a);
-void admit_add_sample (struct admit *a, const struct admit_sample *seen,
+void admit_add_sample (struct admit *a, const struct admit_sample *sample,
                        int64_t now_us);
-/* Permille of the work asked for that can be let in. */
+/* Permille of the demand to admit. */
 int admit_permille (const struct admit *a, int64_t now_us);
-/* Whether a caller with LEFT_US has waited before, going by the USUAL_US of
-   others, 0 at first, which is kept up. */
+/* Whether a caller with LEFT_US until its deadline has probably been refused
+   before, judged by the time USUAL_US that others have.  Updates USUAL_US,
+   which starts as 0. */
 bool admit_is_retry (int64_t *usual_us, int64_t left_us);
-/* Which callers go first: a lower rank does. */
-int admit_rank (int urgency, bool returned);
-/* A request of RANK asks for WORK, in any unit that is the same for all. */
+/* Rank of a request; lower ranks are admitted first. */
+int admit_rank (int urgency, bool is_retry);
+/* Adds WORK to the demand of RANK; the unit is the same for all. */
 void admit_add_demand (struct admit *a, int rank, int64_t work,
                        int64_t now_us);
-/* Permille of the requests of RANK to let in, if KEEP of all work can be. */
-int admit_rank_permille (const struct admit *a, int rank, int keep);
+/* Permille of the requests of RANK to admit if PERMILLE of all work can
+   be served. */
+int admit_rank_permille (const struct admit *a, int rank, int permille);
 
 /* --- budget: retries as a share of requests -------------------------- */
 
-/* Retry budget of a service: an outage must not be doubled by retries. */
+/* Retry budget of a service: retries must not double the load in an outage. */
 struct budget
 {
-  int64_t level_milli; /* thousandths of a retry that may be spent */
-  int64_t cap_milli;   /* the level never exceeds this */
+  int64_t level_milli; /* thousandths of a retry available */
+  int64_t cap_milli;   /* upper bound of level_milli */
   int64_t per_request; /* thousandths earned by each first attempt */
 };
 
@@ -178,37 +185,38 @@
 /* Declared limits of a workspace. */
 struct lim_opts
 {
-  int concurrency;     /* requests running at once */
-  int queue_max;       /* requests waiting at once */
+  int concurrency;     /* requests that may run at once */
+  int queue_max;       /* requests that may be queued at once */
   int64_t body_max;    /* bytes of one request body */
-  int64_t tokens_s;    /* model tokens a second, 0 for no limit */
-  int64_t token_burst; /* tokens that may be spent at once */
+  int64_t tokens_s;    /* model tokens per second, 0 for no limit */
+  int64_t token_burst; /* capacity of the token bucket */
 };
 
-/* Running state of a workspace on this VM. */
+/* State of a workspace on this VM. */
 struct lim_workspace
 {
   struct lim_opts opts; /* declared limits */
-  int64_t tokens;       /* tokens that may be spent now */
-  int64_t refilled_us;  /* time up to which the bucket was filled */
-  int running;          /* requests that hold an endpoint's place */
-  int queued;           /* requests that wait */
+  int64_t tokens;       /* tokens in the bucket */
+  int64_t refilled_us;  /* time up to which the bucket was refilled */
+  int running;          /* requests that hold an endpoint's slot */
+  int queued;           /* requests in queues */
 };
 
 enum lim_code
 {
   LIM_OK,
   LIM_BODY,      /* body larger than body_max */
-  LIM_TOKENS,    /* token rate spent */
-  LIM_QUEUE,     /* too many requests of this workspace wait */
-  LIM_OVER_BURST /* cost exceeds the burst: no waiting will help */
+  LIM_TOKENS,    /* token bucket is short of tokens */
+  LIM_QUEUE,     /* too many requests of this workspace are queued */
+  LIM_OVER_BURST /* cost exceeds the bucket capacity: a retry cannot succeed */
 };
 
-/* Judgement on admission. */
+/* Decision on admission. */
 struct lim_verdict
 {
   enum lim_code code;     /* LIM_OK or why not */
-  int64_t retry_after_us; /* when asking again can help, 0 if never */
+  int64_t retry_after_us; /* delay after which a retry may succeed, 0 for no
+                             hint */
 };
 
 void lim_init (struct lim_workspace *w, const struct lim_opts *opts,
@@ -232,23 +240,24 @@
 /* A waiting request; embedded in the request itself. */
 struct fq_entry
 {
-  APR_RING_ENTRY (fq_entry) link; /* in the flow */
-  struct fq_flow *flow;           /* where it waits, NULL when it does not */
-  int64_t cost;                   /* tokens, or 1 for a plain call */
-  int64_t deadline_us;            /* must have started by then */
-  int64_t queued_us;              /* when it was queued */
+  APR_RING_ENTRY (fq_entry) link; /* in the queue of its flow */
+  struct fq_flow *flow; /* flow in which it is queued, NULL if none */
+  int64_t cost;         /* tokens, or 1 for a call of a plain service */
+  int64_t deadline_us;  /* must have started before this time */
+  int64_t queued_us;    /* time at which it was queued */
 };
 
-/* Requests of one workspace and class that wait for one service. */
+/* Queued requests of one workspace and class for one service. */
 struct fq_flow
 {
   APR_RING_ENTRY (fq_flow) link;          /* among the active flows */
   APR_RING_HEAD (fq_list, fq_entry) list; /* waiting requests, oldest first */
-  struct lim_workspace *workspace;        /* whose concurrency counts */
-  enum fq_class class;                    /* urgent or normal */
-  int64_t deficit;                        /* cost it may still spend */
-  int queued;                             /* entries in the list */
-  int running;                            /* places it holds */
+  struct lim_workspace
+      *workspace;      /* workspace whose concurrency limit applies */
+  enum fq_class class; /* urgent or normal */
+  int64_t deficit;     /* cost it may still spend in this round */
+  int queued;          /* entries in the list */
+  int running;         /* slots it holds */
 };
 
 APR_RING_HEAD (fq_ring, fq_flow);
@@ -256,51 +265,53 @@
 /* The queue of a service. */
 struct fq
 {
-  struct fq_ring active[FQ_CLASSES]; /* flows with entries, in turn */
-  int flows[FQ_CLASSES];             /* active flows of each class */
-  int queued[FQ_CLASSES];            /* entries of each class */
-  int queue_max;                     /* entries in all */
-  int urgent_reserve;                /* places that only urgent work takes */
-  int64_t quantum;                   /* cost granted to a flow each turn */
-  int64_t hold_us;                   /* smoothed time a place is held */
+  struct fq_ring
+      active[FQ_CLASSES]; /* flows with entries, in round-robin order */
+  int flows[FQ_CLASSES];  /* number of active flows by class */
+  int queued[FQ_CLASSES]; /* number of entries by class */
+  int queue_max;          /* limit on the entries of all classes */
+  int urgent_reserve;     /* slots reserved for urgent requests */
+  int64_t quantum;        /* cost granted to a flow in each round */
+  int64_t hold_us;        /* smoothed time for which a slot is held */
 };
 
 enum fq_code
 {
   FQ_QUEUED,
-  FQ_FULL,    /* no place in the queue */
-  FQ_TOO_LATE /* it would not start before its deadline */
+  FQ_FULL,    /* the queue is full */
+  FQ_TOO_LATE /* it is not expected to start before its deadline */
 };
 
-/* Judgement on queueing. */
+/* Decision on queueing. */
 struct fq_verdict
 {
   enum fq_code code;        /* FQ_QUEUED or why not */
   int64_t wait_us;          /* expected wait, for Retry-After */
-  struct fq_entry *evicted; /* pushed out by this one: answer it not-run */
+  struct fq_entry *evicted; /* entry evicted by this one: answer it not-run */
 };
 
 void fq_init (struct fq *q, int queue_max, int reserve, int64_t quantum);
 void fq_flow_init (struct fq_flow *f, struct lim_workspace *w,
                    enum fq_class class);
 struct fq_verdict fq_push (struct fq *q, struct fq_flow *f, struct fq_entry *e,
-                           int places, int64_t now_us);
-struct fq_entry *fq_pop (struct fq *q, int free_places, int share_places);
+                           int slots, int64_t now_us);
+struct fq_entry *fq_pop (struct fq *q, int free_slots, int share_slots);
 void fq_finished (struct fq_flow *f);
 void fq_remove (struct fq *q, struct fq_entry *e);
 void fq_add_hold_time (struct fq *q, int64_t held_us);
 
 /* --- pfx: which endpoint is likely to hold which prompt prefix ------- */
 
-#define PFX_BLOCK_BYTES 512 /* prompt bytes under one digest */
-#define PFX_MAX_BLOCKS 256  /* longer prompts are followed to this depth */
-#define PFX_HOLDERS 4       /* endpoints remembered for one prefix */
-#define PFX_KEY_BYTES 32    /* key of a workspace's digests */
+#define PFX_BLOCK_BYTES 512 /* prompt bytes covered by one digest */
+#define PFX_MAX_BLOCKS 256  /* further blocks of a prompt are not indexed */
+#define PFX_HOLDERS 4       /* endpoints recorded for one prefix */
+#define PFX_KEY_BYTES 32    /* size of the key of a scope's digests */
 
-/* Scope of a prefix: digests of two scopes never meet. */
+/* Scope of a prefix: digests of different scopes are unrelated. */
 struct pfx_scope
 {
-  uint8_t key[PFX_KEY_BYTES]; /* from workspace, service, version, adapter */
+  uint8_t
+      key[PFX_KEY_BYTES]; /* hash of workspace, service, version and adapter */
 };
 
 void pfx_scope_init (struct pfx_scope *scope, const char *workspace,
@@ -309,12 +320,12 @@
 int pfx_chain (const struct pfx_scope *scope, const char *text, size_t len,
                uint64_t *digests, int max);
 
-/* An endpoint and the number of leading blocks it is believed to hold. */
+/* An endpoint and the number of leading blocks it probably holds. */
 struct pfx_hit
 {
   int endpoint;             /* index in the routing table */
   int blocks;               /* leading blocks of the prompt */
-  int probability_permille; /* how likely they are still there */
+  int probability_permille; /* probability that it still holds them */
 };
 
 struct pfx;
@@ -323,19 +334,19 @@
 void pfx_free (struct pfx *p);
 size_t pfx_count (const struct pfx *p);
 
-/* An endpoint's memory: how many tokens it holds, and how many were put into
-   it so far, by its own count in a report or as sent since. */
+/* Cache of an endpoint: sets its capacity in tokens, sets the tokens written
+   to it so far as counted in its report, and adds tokens sent to it since. */
 void pfx_set_capacity (struct pfx *p, int endpoint, int64_t tokens);
 void pfx_set_filled (struct pfx *p, int endpoint, int64_t tokens);
 void pfx_add_filled (struct pfx *p, int endpoint, int64_t tokens);
 
-/* What is known of one prompt at one endpoint. */
+/* Records or removes the prefixes that an endpoint holds. */
 void pfx_record (struct pfx *p, const uint64_t *digests, int n, int endpoint);
 void pfx_remove (struct pfx *p, uint64_t digest, int endpoint);
 void pfx_remove_beyond (struct pfx *p, const uint64_t *digests, int n,
                         int endpoint, int blocks);
 
-/* Events of an endpoint were lost; or all it held is gone. */
+/* Some cache events of an endpoint were lost; its cache was emptied. */
 void pfx_mark_gap (struct pfx *p, int endpoint);
 void pfx_invalidate_endpoint (struct pfx *p, int endpoint);
 
@@ -344,88 +355,91 @@
 
 /* --- route: choice of an endpoint ------------------------------------ */
 
-/* What an endpoint declares about itself in the settings. */
+/* Properties of an endpoint that the settings declare. */
 struct route_opts
 {
-  const char *name;         /* endpoint name; must outlive the table */
-  int service;              /* index of its service */
-  bool local;               /* in this VM's failure domain */
-  int64_t rtt_us;           /* round trip to reach it */
-  int slots;                /* requests it runs at once */
-  int64_t prefill_tokens_s; /* prompt tokens a second, 0 for plain calls */
-  int64_t decode_us;        /* time for each generated token */
+  const char *name; /* endpoint name; must outlive the table */
+  int service;      /* index of its service */
+  bool local;       /* in this VM's failure domain */
+  int64_t rtt_us;   /* network round-trip time */
+  int slots;        /* requests it runs at once */
+  int64_t
+      prefill_tokens_s; /* prompt tokens per second, 0 for plain services */
+  int64_t decode_us;    /* time for each generated token */
 };
 
-/* What an endpoint last said about itself, with a lag. */
+/* Last load report of an endpoint, received with a delay. */
 struct route_report
 {
-  int64_t at_us;         /* when that was so, by its age; 0 for never */
-  int running;           /* requests it ran then */
-  int64_t queued_tokens; /* prompt tokens waiting then */
-  char version[40];      /* weight version it serves */
-  char incarnation[40];  /* which life of that address this is */
-  bool leaving;          /* it said it is leaving */
+  int64_t
+      at_us; /* time at which the report was true, from its age; 0 for none */
+  int running;           /* requests that it ran */
+  int64_t queued_tokens; /* queued prompt tokens */
+  char version[40];      /* weight version that it serves */
+  char incarnation[40]; /* identifies one run of the endpoint at its address */
+  bool leaving;         /* it reported that it is leaving */
 };
 
-/* How a call to an endpoint ended, as far as the endpoint is to blame. */
+/* Result of a call to an endpoint, for its health state. */
 enum route_result
 {
   ROUTE_REACHED,     /* it answered */
-  ROUTE_CONN_BROKEN, /* its connection broke, or stopped moving */
-  ROUTE_UNREACHABLE  /* no connection */
+  ROUTE_CONN_BROKEN, /* its connection broke or stalled */
+  ROUTE_UNREACHABLE  /* the connection failed */
 };
 
 enum route_state
 {
   ROUTE_OK,
-  ROUTE_EJECTED,  /* failed lately; tried again after a pause */
-  ROUTE_DRAINING, /* an operator took it out */
+  ROUTE_EJECTED,  /* failed recently; retried after a backoff */
+  ROUTE_DRAINING, /* an operator drained it */
   ROUTE_LEAVING   /* its incarnation is leaving: sticky */
 };
 
-#define ROUTE_SENDS 32 /* sends remembered, to bridge the lag of reports */
+#define ROUTE_SENDS 32 /* recent sends that are added to a delayed report */
 
 /* A request that was sent to an endpoint. */
 struct route_send
 {
-  int64_t at_us;  /* when */
-  int64_t tokens; /* prompt tokens it has to compute */
+  int64_t at_us;  /* time of the send */
+  int64_t tokens; /* prompt tokens that the endpoint has to prefill */
 };
 
 /* An endpoint as this VM sees it. */
 struct route_endpoint
 {
-  struct route_opts opts;               /* declared */
+  struct route_opts opts;               /* from the settings */
   struct route_report report;           /* last report */
-  int running;                          /* our requests at it now */
+  int running;                          /* requests of this VM that it runs */
   struct route_send sends[ROUTE_SENDS]; /* latest requests sent to it */
-  unsigned nsends;              /* requests ever sent; the latest is kept at
-                                   (nsends - 1) % ROUTE_SENDS */
-  int done_since_report;        /* requests that ended since the report */
-  int ejections;                /* failures in a row since the ejection */
-  int broken_conns;             /* broken connections in a row */
-  int64_t retry_us;             /* not before this time after a failure */
-  bool draining;                /* taken out by an operator */
-  bool removed;                 /* taken out of the settings */
-  char leaving_incarnation[40]; /* incarnation that is leaving, sticky */
+  unsigned nsends;       /* requests ever sent; the latest is kept at
+                            (nsends - 1) % ROUTE_SENDS */
+  int done_since_report; /* requests completed since the report */
+  int ejections;         /* successive ejections, which double the backoff */
+  int broken_conns;      /* consecutive broken connections */
+  int64_t retry_us;      /* end of the backoff */
+  bool draining;         /* drained by an operator */
+  bool removed;          /* removed from the settings */
+  char leaving_incarnation[40]; /* incarnation that reported it is leaving */
 };
 
 struct route_table;
 
-/* A request as routing sees it. */
+/* Inputs of the choice of an endpoint for one request. */
 struct route_query
 {
   int service;                /* index of the service */
   const char *version;        /* weight version, NULL for plain services */
-  int64_t prompt_tokens;      /* tokens to process before the first */
-  const struct pfx_hit *hits; /* believed cached prefixes */
+  int64_t prompt_tokens;      /* tokens of the prompt */
+  const struct pfx_hit *hits; /* endpoints that probably cache a prefix */
   int nhits;                  /* entries in hits */
   int block_tokens;           /* tokens in one prefix block */
-  const struct plan_source *sources; /* stores that hold a head of it */
-  int nsources;                      /* entries in sources */
-  struct plan_weights weights;       /* declared by the service */
-  const int *exclude;                /* endpoints that failed this request */
-  int nexclude;                      /* entries in exclude */
+  const struct plan_source
+      *sources;                /* stores that hold leading segments of it */
+  int nsources;                /* entries in sources */
+  struct plan_weights weights; /* weights declared by the service */
+  const int *exclude;          /* endpoints that must not be chosen again */
+  int nexclude;                /* entries in exclude */
 };
 
 /* Why no endpoint was chosen, or ROUTE_CHOSEN. */
@@ -433,27 +447,27 @@
 {
   ROUTE_CHOSEN,
   ROUTE_NO_ENDPOINT, /* none serves this service */
-  ROUTE_NO_VERSION,  /* none reports the wanted weight version */
+  ROUTE_NO_VERSION,  /* none reports the required weight version */
   ROUTE_ALL_DOWN,    /* all are ejected, draining or leaving */
-  ROUTE_BUSY         /* no free place */
+  ROUTE_BUSY         /* no endpoint has a free slot */
 };
 
-/* The choice, with the terms that led to it. */
+/* The chosen endpoint and the terms of its score. */
 struct route_choice
 {
-  enum route_code code;  /* whether and why not */
+  enum route_code code;  /* ROUTE_CHOSEN or why none was chosen */
   int endpoint;          /* chosen endpoint */
-  int64_t cost_us;       /* sum of the terms */
+  int64_t cost_us;       /* expected time to first token */
   int64_t queue_us;      /* expected wait at the endpoint */
-  int64_t compute_us;    /* prompt tokens that are not cached */
+  int64_t compute_us;    /* time to prefill the tokens that are not there */
   int64_t network_us;    /* round trip */
   int64_t cached_tokens; /* tokens expected in its cache */
   int store;             /* store to import from, -1 for none */
   int64_t import_tokens; /* tokens to import */
-  int64_t import_us;     /* wait for the link and transfer */
-  int64_t score;         /* weighted sum that was compared */
-  int candidates;        /* endpoints that could be chosen */
-  int near_best;         /* of these, near enough to the best */
+  int64_t import_us;     /* wait for the link, and transfer */
+  int64_t score;         /* weighted sum; the least is best */
+  int candidates;        /* eligible endpoints that were compared */
+  int near_best; /* of these, endpoints with a score close to the best */
 };
 
 struct route_table *route_new (uint64_t seed);
@@ -477,30 +491,30 @@
 const char *route_code_name (enum route_code code);
 const char *route_state_name (enum route_state state);
 
-/* --- claim: at most one run of a call that may not repeat ------------ */
+/* --- claim: at most one run of a non-idempotent call ----------------- */
 
 enum claim_phase
 {
-  CLAIM_HELD, /* somebody owns the run, its end is not recorded */
+  CLAIM_HELD, /* an attempt owns the run, no answer is recorded yet */
   CLAIM_DONE  /* the answer is recorded */
 };
 
 /* A claim row as read from the table. */
 struct claim_row
 {
-  enum claim_phase phase; /* held or done */
+  enum claim_phase phase; /* state of the row */
   const char *attempt;    /* attempt id of the owner */
   const char *digest;     /* digest of the request, to catch reuse */
-  int64_t give_up_ms;     /* wall clock: the owner has stopped by then */
+  int64_t give_up_ms;     /* wall-clock time by which the owner has given up */
 };
 
 enum claim_code
 {
   CLAIM_OWN,     /* this attempt owns the run */
-  CLAIM_REPLAY,  /* answer with the recorded answer */
-  CLAIM_WAIT,    /* another attempt may be running: read again later */
-  CLAIM_LOST,    /* the owner never recorded an end: unknown */
-  CLAIM_MISMATCH /* the key was used for another request */
+  CLAIM_REPLAY,  /* return the recorded answer */
+  CLAIM_WAIT,    /* another attempt may be running: read the row again later */
+  CLAIM_LOST,    /* the owner gave up without recording an answer: unknown */
+  CLAIM_MISMATCH /* the key was used for a different request */
 };
 
 enum claim_code claim_evaluate (const struct claim_row *row,
--- a/fq.c
+++ b/fq.c
@@ -1,15 +1,15 @@
 /*
  * Fair queue of a service: deficit round robin over workspaces, urgent first.
  *
- * A workspace that floods waits behind itself only: each turn a flow may spend
- * one quantum of cost, so another workspace's request waits for at most one
- * turn of every active flow, however long the flood is.
+ * A burst of one workspace delays only that workspace: in each round a flow
+ * may spend one quantum of cost, so a request of another workspace waits for
+ * at most one turn of every active flow, however long the burst is.
  */
 #include "decide.h"
 
 #include <assert.h>
 
-#define HOLD_SMOOTHING 8 /* weight of the past in the smoothed hold time */
+#define HOLD_SMOOTHING 8 /* divisor of the EWMA of the hold time */
 
 void
 fq_init (struct fq *q, int queue_max, int reserve, int64_t quantum)
@@ -69,28 +69,28 @@
 }
 
 /*
- * Expected wait of one more entry of F: before it go F's own entries and, in
- * each turn, one entry of every other flow; never more than is queued.  Urgent
- * work waits for urgent work only.
+ * Expected wait of one more entry of F: it waits for the entries of F and, in
+ * each round, for one entry of every other flow, up to the number queued.
+ * Urgent requests wait for urgent requests only.
  */
 static int64_t
-expected_wait (const struct fq *q, const struct fq_flow *f, int places)
+expected_wait (const struct fq *q, const struct fq_flow *f, int slots)
 {
   int rivals = q->flows[f->class] - (f->queued > 0 ? 1 : 0);
-  int64_t ahead = f->queued + (int64_t)(f->queued + 1) * rivals;
+  int64_t queued_before = f->queued + (int64_t)(f->queued + 1) * rivals;
 
-  if (ahead > q->queued[f->class])
-    ahead = q->queued[f->class];
+  if (queued_before > q->queued[f->class])
+    queued_before = q->queued[f->class];
   if (f->class == FQ_NORMAL)
-    ahead += q->queued[FQ_URGENT];
-  if (places <= 0)
-    places = 1;
-  return ahead * q->hold_us / places;
+    queued_before += q->queued[FQ_URGENT];
+  if (slots <= 0)
+    slots = 1;
+  return queued_before * q->hold_us / slots;
 }
 
-/* The normal flow with the most entries; urgent work is never pushed out. */
+/* The normal flow with the most entries; urgent requests are never evicted. */
 static struct fq_flow *
-longest (struct fq *q)
+longest_flow (struct fq *q)
 {
   struct fq_flow *best = NULL;
   struct fq_flow *f;
@@ -104,13 +104,14 @@
 }
 
 /*
- * Make room in a full queue at the cost of the longest flow.  Without this a
- * flood of one workspace fills the queue and every other workspace is refused.
+ * Makes room in a full queue: evicts the last entry of the longest flow.
+ * Without this a burst of one workspace would fill the queue, and the requests
+ * of every other workspace would be refused.
  */
 static struct fq_entry *
-push_out (struct fq *q, const struct fq_flow *f)
+evict (struct fq *q, const struct fq_flow *f)
 {
-  struct fq_flow *l = longest (q);
+  struct fq_flow *l = longest_flow (q);
   struct fq_entry *e;
 
   if (l == NULL || l == f)
@@ -123,12 +124,12 @@
 }
 
 struct fq_verdict
-fq_push (struct fq *q, struct fq_flow *f, struct fq_entry *e, int places,
+fq_push (struct fq *q, struct fq_flow *f, struct fq_entry *e, int slots,
          int64_t now_us)
 {
   struct fq_verdict v = { .code = FQ_QUEUED };
 
-  v.wait_us = expected_wait (q, f, places);
+  v.wait_us = expected_wait (q, f, slots);
   if (now_us + v.wait_us >= e->deadline_us)
     {
       v.code = FQ_TOO_LATE;
@@ -136,7 +137,7 @@
     }
   if (q->queued[FQ_URGENT] + q->queued[FQ_NORMAL] >= q->queue_max)
     {
-      v.evicted = push_out (q, f);
+      v.evicted = evict (q, f);
       if (v.evicted == NULL)
         {
           v.code = FQ_FULL;
@@ -155,20 +156,20 @@
 }
 
 /*
- * A place cannot be taken back from a running request.  If one workspace held
- * them all, every other would wait for one to end, however fair the queue is;
- * so a normal flow never holds more than its share.
+ * A running request cannot be preempted.  If one workspace held all slots,
+ * the others would wait for a request to end, however fair the queue is.  So a
+ * normal flow never holds more than its share of the slots.
  */
 static bool
-blocked (const struct fq_flow *f, int share_places)
+is_blocked (const struct fq_flow *f, int share_slots)
 {
   if (f->workspace->running >= f->workspace->opts.concurrency)
     return true;
-  return f->class == FQ_NORMAL && f->running >= share_places;
+  return f->class == FQ_NORMAL && f->running >= share_slots;
 }
 
 static struct fq_entry *
-pop_class (struct fq *q, enum fq_class class, int share_places)
+pop_class (struct fq *q, enum fq_class class, int share_slots)
 {
   struct fq_flow *f;
   struct fq_entry *e;
@@ -178,7 +179,7 @@
     {
       f = APR_RING_FIRST (&q->active[class]);
       e = APR_RING_FIRST (&f->list);
-      if (blocked (f, share_places))
+      if (is_blocked (f, share_slots))
         {
           skipped++;
           rotate (q, f);
@@ -201,24 +202,24 @@
 }
 
 /*
- * Next request to start when FREE_PLACES are free and one workspace may hold
- * SHARE_PLACES of them with normal work, or NULL.  It is counted as running
- * until fq_finished.
+ * Returns the next request to start, or NULL, if FREE_SLOTS slots are free
+ * and one workspace may hold SHARE_SLOTS slots with normal requests.  It is
+ * counted as running until fq_finished is called.
  */
 struct fq_entry *
-fq_pop (struct fq *q, int free_places, int share_places)
+fq_pop (struct fq *q, int free_slots, int share_slots)
 {
   struct fq_entry *e = NULL;
 
-  if (free_places <= 0)
+  if (free_slots <= 0)
     return NULL;
-  e = pop_class (q, FQ_URGENT, share_places);
-  if (e == NULL && free_places > q->urgent_reserve)
-    e = pop_class (q, FQ_NORMAL, share_places);
+  e = pop_class (q, FQ_URGENT, share_slots);
+  if (e == NULL && free_slots > q->urgent_reserve)
+    e = pop_class (q, FQ_NORMAL, share_slots);
   return e;
 }
 
-/* A request of F gave its place back. */
+/* A request of F released its slot. */
 void
 fq_finished (struct fq_flow *f)
 {
@@ -226,7 +227,7 @@
   f->workspace->running--;
 }
 
-/* Learn how long a place was held, for the expected wait. */
+/* Adds a sample of the time a slot was held, for the expected wait. */
 void
 fq_add_hold_time (struct fq *q, int64_t held_us)
 {
--- a/out.c
+++ b/out.c
@@ -1,4 +1,4 @@
-/* Outcome of a request, judged from how far its attempt got. */
+/* Decides the outcome of a request from the progress of its attempts. */
 #include "decide.h"
 
 const char *
@@ -37,14 +37,14 @@
 
 /*
  * A request may be given up between two attempts, in a queue or at a limit.
- * It is not-run only if no attempt before it can have run.
+ * Its outcome is not-run only if no earlier attempt can have run.
  */
 enum outcome
-out_abandoned (bool may_have_run, bool repeatable)
+out_abandoned (bool may_have_run, bool idempotent)
 {
   if (!may_have_run)
     return OUT_NOT_RUN;
-  return repeatable ? OUT_FAILED : OUT_UNKNOWN;
+  return idempotent ? OUT_FAILED : OUT_UNKNOWN;
 }
 
 static struct out_verdict
@@ -54,32 +54,32 @@
 }
 
 static struct out_verdict
-again (enum out_next next, const char *reason)
+continue_with (enum out_next next, const char *reason)
 {
   return (struct out_verdict){ next, OUT_UNKNOWN, reason };
 }
 
-/* This attempt did not run: another endpoint may be tried whatever the
-   service declares. */
+/* The attempt did not run, so another endpoint may be tried even if the
+   service is not idempotent. */
 static struct out_verdict
-judge_unsent (const struct out_facts *f, const char *reason)
+after_not_run (const struct out_facts *f, const char *reason)
 {
   enum outcome outcome = out_abandoned (f->ran_before, f->idempotent);
 
   if (f->deadline_passed)
     return finish (outcome, "deadline");
   if (f->attempts_left)
-    return again (NEXT_RETRY, reason);
+    return continue_with (NEXT_RETRY, reason);
   return finish (outcome, reason);
 }
 
 /*
- * The attempt broke after a byte left.  It may have run, so only a service
- * that is declared repeatable is tried again; a truck sent twice costs more
- * than an honest "unknown".
+ * The attempt broke after a byte was written.  It may have run, so only a
+ * service that is declared idempotent is retried: running a call twice (a
+ * truck dispatched twice) costs more than the outcome "unknown".
  */
 static struct out_verdict
-judge_broken (const struct out_facts *f)
+after_break (const struct out_facts *f)
 {
   if (!f->idempotent)
     return finish (OUT_UNKNOWN, "broken_after_send");
@@ -88,20 +88,20 @@
   if (!f->attempts_left)
     return finish (OUT_FAILED, "attempts_spent");
   if (!f->caller_has_bytes)
-    return again (NEXT_RETRY, "broken_after_send");
+    return continue_with (NEXT_RETRY, "broken_after_send");
   if (f->resumable)
-    return again (NEXT_RESUME, "stream_broken");
+    return continue_with (NEXT_RESUME, "stream_broken");
   return finish (OUT_FAILED, "stream_broken");
 }
 
 static struct out_verdict
-judge_whole (const struct out_facts *f)
+after_reply (const struct out_facts *f)
 {
   if (f->status < 500)
     return finish (OUT_ANSWERED, "answered");
   if (f->idempotent && f->attempts_left && !f->deadline_passed
       && !f->caller_has_bytes)
-    return again (NEXT_RETRY, "endpoint_error");
+    return continue_with (NEXT_RETRY, "endpoint_error");
   return finish (OUT_FAILED, "endpoint_error");
 }
 
@@ -111,14 +111,14 @@
   switch (facts->sent)
     {
     case SEND_NONE:
-      return judge_unsent (facts, "not_reached");
+      return after_not_run (facts, "not_reached");
     case SEND_REFUSED:
-      return judge_unsent (facts, "endpoint_refused");
+      return after_not_run (facts, "endpoint_refused");
     case SEND_PARTIAL:
     case SEND_REPLIED:
-      return judge_broken (facts);
+      return after_break (facts);
     case SEND_COMPLETE:
-      return judge_whole (facts);
+      return after_reply (facts);
     }
   return finish (OUT_UNKNOWN, "broken_after_send");
 }
--- a/share.c
+++ b/share.c
@@ -1,16 +1,16 @@
-/* Fair shares of a service that cannot serve all, among workspaces. */
+/* Max-min fair shares of an overloaded service among workspaces. */
 #include "decide.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* Old work counts an eighth less after each step, half after about 2.6 s: long
-   enough to know a workspace that asks some times a second, short enough to
-   forget a burst soon after it. */
-#define STEP_US (500 * CQ_US_PER_MS)
-#define STEP_PART 8
-/* After so many steps nothing that matters is left. */
-#define STEPS_MAX 64
+/* Demand decays by an eighth per interval, by half in about 2.6 s: long enough
+   to track a workspace with some requests per second, short enough to forget a
+   burst soon. */
+#define DECAY_INTERVAL_US (500 * CQ_US_PER_MS)
+#define DECAY_DIVISOR 8
+/* After this many intervals the remaining demand is negligible. */
+#define DECAY_STEPS_MAX 64
 
 static struct share_workspace *
 find (const struct share *s, const char *name)
@@ -23,9 +23,9 @@
   return NULL;
 }
 
-/* Count old work down, and drop entries of which nothing is left. */
+/* Applies one decay interval and drops workspaces without demand. */
 static void
-age (struct share *s)
+decay (struct share *s)
 {
   struct share_workspace *e;
   int i;
@@ -33,101 +33,103 @@
   for (i = s->n - 1; i >= 0; i--)
     {
       e = &s->entries[i];
-      e->work -= (e->work + STEP_PART - 1) / STEP_PART;
-      if (e->work == 0)
+      e->demand -= (e->demand + DECAY_DIVISOR - 1) / DECAY_DIVISOR;
+      if (e->demand == 0)
         *e = s->entries[--s->n];
     }
 }
 
 static void
-age_until (struct share *s, int64_t now_us)
+decay_until (struct share *s, int64_t now_us)
 {
   int i;
 
-  for (i = 0; i < STEPS_MAX && now_us - s->decayed_us >= STEP_US; i++)
+  for (i = 0;
+       i < DECAY_STEPS_MAX && now_us - s->decayed_us >= DECAY_INTERVAL_US; i++)
     {
-      age (s);
-      s->decayed_us += STEP_US;
+      decay (s);
+      s->decayed_us += DECAY_INTERVAL_US;
     }
-  if (now_us - s->decayed_us >= STEP_US)
+  if (now_us - s->decayed_us >= DECAY_INTERVAL_US)
     s->decayed_us = now_us;
 }
 
 void
-share_add_demand (struct share *s, const char *workspace, int64_t work,
+share_add_demand (struct share *s, const char *workspace, int64_t demand,
                   int64_t now_us)
 {
   struct share_workspace *e;
 
-  age_until (s, now_us);
+  decay_until (s, now_us);
   e = find (s, workspace);
   if (e == NULL && s->n < SHARE_MAX_WORKSPACES)
     {
       e = &s->entries[s->n++];
       g_strlcpy (e->name, workspace, sizeof e->name);
-      e->work = 0;
+      e->demand = 0;
     }
   if (e != NULL)
-    e->work += work;
+    e->demand += demand;
 }
 
 static int64_t
-asked_by_all (const struct share *s)
+total_demand (const struct share *s)
 {
   int64_t all = 0;
   int i;
 
   for (i = 0; i < s->n; i++)
-    all += s->entries[i].work;
+    all += s->entries[i].demand;
   return all;
 }
 
 /*
- * The level at which shares are cut so that ROOM is filled: workspaces that
- * ask for less than an equal part of what is left get all, which leaves more
- * for the others; repeated until no further one does.
+ * Largest demand per workspace that is served in full if CAPACITY is shared
+ * by progressive filling: workspaces with a demand below an equal part of the
+ * remaining capacity get all of it, which leaves more for the others.
+ * Repeated until no further workspace is below.
  */
 static int64_t
-level_of (const struct share *s, int64_t room)
+demand_limit (const struct share *s, int64_t capacity)
 {
-  int64_t level = 0;
+  int64_t limit = 0;
   int64_t left;
   int round, i, above;
 
   for (round = 0; round < s->n; round++)
     {
-      left = room;
+      left = capacity;
       above = 0;
       for (i = 0; i < s->n; i++)
-        if (s->entries[i].work <= level)
-          left -= s->entries[i].work;
+        if (s->entries[i].demand <= limit)
+          left -= s->entries[i].demand;
         else
           above++;
-      if (above == 0 || left / above <= level)
+      if (above == 0 || left / above <= limit)
         break;
-      level = left / above;
+      limit = left / above;
     }
-  return level;
+  return limit;
 }
 
 /*
- * Refused by chance alone, a workspace that asks ten times as much as each of
- * the others takes their places: they lose as large a part of their requests
- * as it does, through no doing of theirs.  One that asks for less than its
- * equal share loses nothing.
+ * With random refusals alone, a workspace with ten times the demand of each
+ * other one would cost the others as large a part of their requests as it
+ * loses itself.  Here a workspace that stays below its equal share loses
+ * nothing.
  */
 int
-share_permille (const struct share *s, const char *workspace, int keep)
+share_permille (const struct share *s, const char *workspace, int permille)
 {
   const struct share_workspace *e = find (s, workspace);
-  int64_t level;
-
-  if (e == NULL || e->work == 0 || keep >= CQ_PERMILLE)
-    return keep;
-  level = level_of (s,
-                    asked_by_all (s) / CQ_PERMILLE * keep
-                        + asked_by_all (s) % CQ_PERMILLE * keep / CQ_PERMILLE);
-  if (e->work <= level)
+  int64_t limit;
+
+  if (e == NULL || e->demand == 0 || permille >= CQ_PERMILLE)
+    return permille;
+  limit = demand_limit (s, total_demand (s) / CQ_PERMILLE * permille
+                               + total_demand (s) % CQ_PERMILLE * permille
+                                     / CQ_PERMILLE);
+  if (e->demand <= limit)
     return CQ_PERMILLE;
-  return (int)(level * CQ_PERMILLE / e->work);
+  return (int)(limit * CQ_PERMILLE / e->demand);
 }
