--- a/bench/mutants.sh
+++ b/bench/mutants.sh
@@ -21,7 +21,7 @@
 mutant "own connection for calls that may not repeat" xfer.c 's/  if (o->fresh)/  if (false)/'
 mutant "claims" jobclaim.c 's/  return !j->model \&\& j->key != NULL/  return false \&\& j->key != NULL/'
 mutant "no second try after the send" out.c 's/  if (!f->idempotent)/  if (false)/'
-mutant "workspace in the scope of prefixes" pfx.c '/  add_part (&h, workspace);/d'
+mutant "workspace in the scope of prefixes" pfx.c '/  hash_part (&h, workspace);/d'
 mutant "a stream without its end is not whole" attempt.c 's/  if (!end->whole || (j->streaming \&\& !j->strm.done) || !version_fits (j))/  if (!version_fits (j))/'
 mutant "resume at the token offset" attempt.c 's/extra.resume_offset = j->strm.tokens;/extra.resume_offset = 0;/'
 mutant "a stop waits for running requests" srv.c 's/^  wait_for_jobs (s, limit_s);//'
--- a/dir.c
+++ b/dir.c
@@ -1,7 +1,7 @@
 /*
- * Directory of kept segments: a hint for routing.  The stores' own listings
- * are the truth, and an import checks what it gets, so a wrong entry costs
- * time and never a wrong answer.
+ * Directory of kept segments, used as a hint for routing.  The listings of the
+ * stores are authoritative, and an import verifies what it receives, so a
+ * wrong entry costs time but never causes a wrong answer.
  */
 #include "kept.h"
 
@@ -11,7 +11,7 @@
 {
   GHashTable *by_digest;                  /* digest to entry */
   APR_RING_HEAD (dir_lru, dir_entry) lru; /* all entries */
-  size_t max_entries;                     /* bound on the entries */
+  size_t max_entries;                     /* limit on the number of entries */
 };
 
 struct dir *
@@ -61,7 +61,7 @@
 }
 
 static struct dir_entry *
-make (struct dir *d, uint64_t digest, int64_t now_us)
+insert (struct dir *d, uint64_t digest, int64_t now_us)
 {
   struct dir_entry *e;
   int c;
@@ -78,7 +78,8 @@
   return e;
 }
 
-/* Note a sealed copy; a copy in the same store under an older name goes. */
+/* Records a sealed copy.  It replaces a copy in the same store that has an
+   older name. */
 struct dir_entry *
 dir_add (struct dir *d, uint64_t digest, int store, uint64_t write_id,
          int64_t now_us)
@@ -88,7 +89,7 @@
   int c;
 
   if (e == NULL)
-    e = make (d, digest, now_us);
+    e = insert (d, digest, now_us);
   for (c = 0; c < DIR_COPIES; c++)
     if (e->copies[c].store == store)
       break;
@@ -103,7 +104,7 @@
   return e;
 }
 
-/* Forget a copy, unless it was written again under another name. */
+/* Removes a copy, unless it was written again under another name. */
 bool
 dir_remove (struct dir *d, uint64_t digest, int store, uint64_t write_id)
 {
@@ -128,7 +129,7 @@
   return found;
 }
 
-/* A store died or came back empty. */
+/* Removes all copies in a store that failed or restarted empty. */
 void
 dir_remove_store (struct dir *d, int store)
 {
@@ -149,7 +150,7 @@
 }
 
 static bool
-held_by (const struct dir_entry *e, int store)
+has_copy (const struct dir_entry *e, int store)
 {
   int c;
 
@@ -168,7 +169,7 @@
   while (depth + DIR_SEGMENT_BLOCKS <= n)
     {
       e = dir_find (d, digests[depth + DIR_SEGMENT_BLOCKS - 1]);
-      if (e == NULL || !held_by (e, store))
+      if (e == NULL || !has_copy (e, store))
         break;
       depth += DIR_SEGMENT_BLOCKS;
     }
--- a/keep.c
+++ b/keep.c
@@ -1,17 +1,17 @@
 /*
- * What is worth keeping: seconds of recompute saved, times the chance of a
- * return, for each byte; the chance is learned for each workspace from the
- * gaps after which its prompts returned.
+ * Value of keeping a segment: the expected recompute time saved, which is the
+ * time times the probability of reuse, per byte.  The probability is estimated
+ * for each workspace from the gaps after which its prompts returned.
  */
 #include "kept.h"
 
 #define US_PER_S INT64_C (1000000)
 #define PPM INT64_C (1000000)
-#define DECAY_AT 100000 /* uses after which all counts are halved */
-#define PRIOR_USES 20   /* until a workspace is known: one in four returns */
+#define DECAY_AT 100000 /* number of uses at which all counts are halved */
+#define PRIOR_USES 20   /* prior for a new workspace: one in four returns */
 #define PRIOR_RETURNS 5
 
-/* Number of the bucket: floor of the binary logarithm of whole seconds. */
+/* Index of the bucket: floor of the binary logarithm of whole seconds. */
 static int
 bucket_of (int64_t gap_us)
 {
@@ -50,25 +50,26 @@
 }
 
 /*
- * Of the uses that have not returned by AGE, the share that returns before
- * AGE + SPAN.  Buckets count whole, which is as fine as the decision needs.
+ * Of the uses that have not returned by AGE_US, the share that returns before
+ * AGE_US + SPAN_US.  Buckets are counted as a whole, which is precise enough
+ * for the decision.
  */
 int64_t
 keep_return_ppm (const struct keep *k, int64_t age_us, int64_t span_us)
 {
   int from = bucket_of (age_us);
   int to = bucket_of (age_us + span_us);
-  int64_t left = k->uses + PRIOR_USES;
-  int64_t soon = PRIOR_RETURNS;
+  int64_t remaining = k->uses + PRIOR_USES;
+  int64_t returning = PRIOR_RETURNS;
   int b;
 
   for (b = 0; b < from; b++)
-    left -= k->returns[b];
+    remaining -= k->returns[b];
   for (b = from; b <= to; b++)
-    soon += k->returns[b];
-  if (left < 1)
-    left = 1;
-  return soon >= left ? PPM : soon * PPM / left;
+    returning += k->returns[b];
+  if (remaining < 1)
+    remaining = 1;
+  return returning >= remaining ? PPM : returning * PPM / remaining;
 }
 
 int64_t
--- a/link.c
+++ b/link.c
@@ -1,13 +1,14 @@
-/* The limited link of a store: who may use it, and how long that takes. */
+/* Bandwidth of the link to a store: admission and expected time of transfers.
+ */
 #include "kept.h"
 
 #define US_PER_S INT64_C (1000000)
-#define SMOOTHING 4       /* weight of the past in the rate */
-#define LEAST_RATE 100000 /* bytes a second, however slow a link was seen */
-#define OTHERS_SMOOTHING 4
-#define OTHERS_HALF_LIFE_US                                                   \
-  (20 * US_PER_S) /* then it is worth a try again                             \
-                   */
+#define SMOOTHING 4 /* divisor of the EWMA of the rate */
+#define MIN_RATE_BYTES_S                                                      \
+  100000                   /* lower bound of the rate, in bytes per second */
+#define OTHERS_SMOOTHING 4 /* divisor of the EWMA of the wait for others */
+/* Then a link that seemed busy is tried again. */
+#define OTHERS_HALF_LIFE_US (20 * US_PER_S)
 #define OTHERS_MAX_HALVINGS 20
 
 void
@@ -16,9 +17,9 @@
   *l = (struct link){ .bytes_s = bytes_s, .segment_bytes = grain };
 }
 
-/* What is left of the wait behind others that was learned earlier. */
+/* Expected wait for transfers of other VMs, decayed since the last sample. */
 static int64_t
-others_now (const struct link *l, int64_t now_us)
+wait_for_others (const struct link *l, int64_t now_us)
 {
   int64_t halvings = (now_us - l->others_at_us) / OTHERS_HALF_LIFE_US;
 
@@ -28,36 +29,36 @@
 }
 
 /*
- * Time until a transfer of CLASS could start: higher classes go first, and
- * other VMs use the link too.
+ * Expected time until a transfer of CLASS can start: higher classes go first,
+ * and other VMs use the link as well.
  */
 int64_t
 link_wait_us (const struct link *l, enum link_class class, int64_t now_us)
 {
-  int64_t ahead = 0;
+  int64_t queued_before = 0;
   int c;
 
   for (c = 0; c <= (int)class; c++)
-    ahead += l->queued[c];
-  /* A transfer that moves is not broken off for a higher class. */
+    queued_before += l->queued[c];
+  /* A running transfer is not interrupted for a higher class. */
   for (; c < LINK_CLASSES; c++)
     if (l->queued[c] > 0)
       {
-        ahead += l->segment_bytes;
+        queued_before += l->segment_bytes;
         break;
       }
-  return ahead * US_PER_S / l->bytes_s + others_now (l, now_us);
+  return queued_before * US_PER_S / l->bytes_s + wait_for_others (l, now_us);
 }
 
 /*
- * A transfer waited for ACTUAL where EXPECTED was told.  What other VMs have
- * queued cannot be seen, only felt: the surplus is their share.
+ * A transfer waited for ACTUAL_US instead of EXPECTED_US.  The queues of other
+ * VMs are not visible, so the difference is attributed to them.
  */
 void
 link_add_wait (struct link *l, int64_t expected_us, int64_t actual_us,
                int64_t now_us)
 {
-  int64_t before = others_now (l, now_us);
+  int64_t before = wait_for_others (l, now_us);
   int64_t seen = before + actual_us - expected_us;
 
   if (seen < 0)
@@ -67,23 +68,24 @@
 }
 
 /*
- * Whether a transfer may be asked for.  Imports were weighed against
- * recomputing already.  Exports and copies only use time that no caller waits
- * for, and no more of it than BUDGET_US, so that a long draft that is being
- * kept never stands before a prompt that returns.
+ * Whether a transfer may be requested.  Imports were already compared with
+ * recomputing.  Exports and copies may queue for at most BUDGET_US, including
+ * their own transfer, so that exporting a long prompt does not delay the
+ * import of a prompt that returns.
  */
 bool
 link_admit (const struct link *l, enum link_class class, int64_t bytes,
             int64_t budget_us, int64_t now_us)
 {
-  int64_t ahead;
+  int64_t queued_before;
 
   if (class == LINK_IMPORT)
     return true;
   if (l->queued[LINK_IMPORT] > 0 && class == LINK_COPY)
     return false;
-  ahead = link_wait_us (l, LINK_COPY, now_us) + bytes * US_PER_S / l->bytes_s;
-  return ahead <= budget_us;
+  queued_before
+      = link_wait_us (l, LINK_COPY, now_us) + bytes * US_PER_S / l->bytes_s;
+  return queued_before <= budget_us;
 }
 
 void
@@ -92,7 +94,7 @@
   l->queued[class] += bytes;
 }
 
-/* A transfer ended after MOVING_US on the link, 0 if it was given up. */
+/* A transfer ended after MOVING_US on the link, or 0 if it was abandoned. */
 void
 link_end (struct link *l, enum link_class class, int64_t bytes,
           int64_t moving_us)
@@ -107,6 +109,6 @@
   l->used[class] += bytes;
   seen = bytes * US_PER_S / moving_us;
   l->bytes_s += (seen - l->bytes_s) / SMOOTHING;
-  if (l->bytes_s < LEAST_RATE)
-    l->bytes_s = LEAST_RATE;
+  if (l->bytes_s < MIN_RATE_BYTES_S)
+    l->bytes_s = MIN_RATE_BYTES_S;
 }
--- a/pfx.c
+++ b/pfx.c
@@ -1,8 +1,8 @@
 /*
- * Prefix index: which endpoint is likely to hold which prompt prefix.
+ * Prefix index: which endpoint probably holds which prompt prefix.
  *
- * Soft state: an entry is a hint that saves time when it is right and costs a
- * recompute when it is wrong.  Bounded; the entry unused longest goes first.
+ * Soft state: an entry is a hint that saves time if it is right and costs a
+ * recompute if it is wrong.  The index is bounded, with LRU replacement.
  */
 #include "decide.h"
 
@@ -10,30 +10,31 @@
 #include <sodium.h>
 #include <string.h>
 
-#define TOKENS_PER_TICK 64 /* unit of an endpoint's fill count */
+#define TOKENS_PER_TICK 64 /* unit of the fill count of an endpoint */
 #define PERMILLE 1000
 
 /*
- * An endpoint's memory evicts what was unused longest.  How much was put into
- * it since a prefix was last used therefore tells whether it is still there,
- * without any event: the fill count is the clock, the capacity the lifetime.
+ * Cache of an endpoint, with LRU eviction.  The number of tokens written to it
+ * since a prefix was last used shows whether the prefix is still there,
+ * without any event: the fill count serves as a clock, the capacity as the
+ * lifetime.
  */
-struct memory
+struct cache
 {
-  uint32_t ticks;    /* fill count so far */
-  int64_t rest;      /* tokens that do not make a tick yet */
-  uint32_t capacity; /* in ticks */
-  uint8_t life;      /* grows when all it held is gone */
-  uint8_t gaps;      /* grows when events were lost */
+  uint32_t ticks;       /* fill count so far */
+  int64_t partial_tick; /* tokens that do not fill a tick yet */
+  uint32_t capacity;    /* in ticks */
+  uint8_t generation;   /* incremented when the cache was emptied */
+  uint8_t gaps;         /* incremented when events were lost */
 };
 
-/* An endpoint that has held a prefix. */
+/* An endpoint that has held a prefix, and its state at the last use. */
 struct holder
 {
-  int16_t endpoint; /* index, -1 for none */
-  uint8_t life;     /* of its memory then */
-  uint8_t gaps;     /* of its events then */
-  uint32_t ticks;   /* of its memory at the last use */
+  int16_t endpoint;   /* index, -1 for none */
+  uint8_t generation; /* its cache generation */
+  uint8_t gaps;       /* its count of lost events */
+  uint32_t ticks;     /* its fill count */
 };
 
 /* One known prefix. */
@@ -41,28 +42,29 @@
 {
   APR_RING_ENTRY (entry) link;        /* by last use, oldest first */
   uint64_t digest;                    /* key in the table */
-  struct holder holders[PFX_HOLDERS]; /* latest first */
+  struct holder holders[PFX_HOLDERS]; /* most recent first */
 };
 
 struct pfx
 {
   GHashTable *by_digest;                /* digest to entry */
   APR_RING_HEAD (entry_lru, entry) lru; /* all entries */
-  size_t max_entries;                   /* bound on the entries */
-  struct memory *memories;              /* one for each endpoint */
+  size_t max_entries;                   /* limit on the number of entries */
+  struct cache *caches;                 /* one per endpoint */
   int endpoints;                        /* their number */
 };
 
 static void
-add_part (crypto_generichash_state *h, const char *part)
+hash_part (crypto_generichash_state *h, const char *part)
 {
-  /* The closing NUL separates parts, so that no two scopes run together. */
+  /* The final NUL separates parts, so that different scopes cannot collide. */
   crypto_generichash_update (h, (const uint8_t *)part, strlen (part) + 1);
 }
 
 /*
- * Key of the digests of one scope.  Equal prompts of two workspaces, or under
- * two weight versions, get unrelated digests and so can never share an entry.
+ * Derives the key of the digests of one scope.  Equal prompts of two
+ * workspaces, or of two weight versions, get unrelated digests, so that they
+ * never share an entry.
  */
 void
 pfx_scope_init (struct pfx_scope *scope, const char *workspace,
@@ -71,31 +73,32 @@
   crypto_generichash_state h;
 
   crypto_generichash_init (&h, NULL, 0, PFX_KEY_BYTES);
-  add_part (&h, workspace);
-  add_part (&h, service);
-  add_part (&h, version);
-  add_part (&h, adapter);
+  hash_part (&h, workspace);
+  hash_part (&h, service);
+  hash_part (&h, version);
+  hash_part (&h, adapter);
   crypto_generichash_final (&h, scope->key, PFX_KEY_BYTES);
 }
 
-/* Digests of the whole blocks of TEXT, each chained to the one before. */
+/* Digests of the complete blocks of TEXT, each chained to the previous one. */
 int
 pfx_chain (const struct pfx_scope *scope, const char *text, size_t len,
            uint64_t *digests, int max)
 {
   crypto_generichash_state h;
   uint8_t full[crypto_generichash_BYTES_MIN];
-  uint64_t before = 0;
+  uint64_t previous = 0;
   int n;
 
   for (n = 0; n < max && len >= PFX_BLOCK_BYTES; n++)
     {
       crypto_generichash_init (&h, scope->key, PFX_KEY_BYTES, sizeof full);
-      crypto_generichash_update (&h, (const uint8_t *)&before, sizeof before);
+      crypto_generichash_update (&h, (const uint8_t *)&previous,
+                                 sizeof previous);
       crypto_generichash_update (&h, (const uint8_t *)text, PFX_BLOCK_BYTES);
       crypto_generichash_final (&h, full, sizeof full);
-      memcpy (&before, full, sizeof before);
-      digests[n] = before;
+      memcpy (&previous, full, sizeof previous);
+      digests[n] = previous;
       text += PFX_BLOCK_BYTES;
       len -= PFX_BLOCK_BYTES;
     }
@@ -111,7 +114,7 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   APR_RING_INIT (&p->lru, entry, link);
   p->max_entries = max_entries;
-  p->memories = g_new0 (struct memory, endpoints + 1);
+  p->caches = g_new0 (struct cache, endpoints + 1);
   p->endpoints = endpoints;
   return p;
 }
@@ -120,7 +123,7 @@
 pfx_free (struct pfx *p)
 {
   g_hash_table_destroy (p->by_digest);
-  g_free (p->memories);
+  g_free (p->caches);
   g_free (p);
 }
 
@@ -130,19 +133,19 @@
   return g_hash_table_size (p->by_digest);
 }
 
-/* --- memories -------------------------------------------------------- */
+/* --- caches of endpoints --------------------------------------------- */
 
 void
 pfx_set_capacity (struct pfx *p, int endpoint, int64_t tokens)
 {
-  p->memories[endpoint].capacity = (uint32_t)(tokens / TOKENS_PER_TICK);
+  p->caches[endpoint].capacity = (uint32_t)(tokens / TOKENS_PER_TICK);
 }
 
-/* The endpoint's own count; it never goes back within one life. */
+/* The endpoint's own count, which never decreases within one generation. */
 void
 pfx_set_filled (struct pfx *p, int endpoint, int64_t tokens)
 {
-  struct memory *m = &p->memories[endpoint];
+  struct cache *m = &p->caches[endpoint];
   uint32_t ticks = (uint32_t)(tokens / TOKENS_PER_TICK);
 
   if ((int32_t)(ticks - m->ticks) > 0)
@@ -152,52 +155,54 @@
 void
 pfx_add_filled (struct pfx *p, int endpoint, int64_t tokens)
 {
-  struct memory *m = &p->memories[endpoint];
+  struct cache *m = &p->caches[endpoint];
 
-  m->rest += tokens;
-  m->ticks += (uint32_t)(m->rest / TOKENS_PER_TICK);
-  m->rest %= TOKENS_PER_TICK;
+  m->partial_tick += tokens;
+  m->ticks += (uint32_t)(m->partial_tick / TOKENS_PER_TICK);
+  m->partial_tick %= TOKENS_PER_TICK;
 }
 
 /*
- * Removals may have been lost, so what was believed before is doubtful until
- * it is used again.
+ * Eviction events may have been lost, so existing entries are less certain
+ * until they are used again.
  */
 void
 pfx_mark_gap (struct pfx *p, int endpoint)
 {
-  p->memories[endpoint].gaps++;
+  p->caches[endpoint].gaps++;
 }
 
 void
 pfx_invalidate_endpoint (struct pfx *p, int endpoint)
 {
-  p->memories[endpoint].life++;
+  p->caches[endpoint].generation++;
 }
 
 static bool
-valid (const struct pfx *p, const struct holder *h)
+is_valid (const struct pfx *p, const struct holder *h)
 {
-  return h->endpoint >= 0 && h->life == p->memories[h->endpoint].life;
+  return h->endpoint >= 0
+         && h->generation == p->caches[h->endpoint].generation;
 }
 
-/* Sure while less than nine tenths of the memory was filled since the last
-   use, gone after eleven tenths; half of that if removals may be missing. */
+/* Probability that H still holds the prefix: 1 while less than nine tenths of
+   the capacity were written since the last use, 0 after eleven tenths, linear
+   between; half of that if eviction events may be missing. */
 static int
-chance_permille (const struct pfx *p, const struct holder *h)
+probability_permille (const struct pfx *p, const struct holder *h)
 {
-  const struct memory *m = &p->memories[h->endpoint];
+  const struct cache *m = &p->caches[h->endpoint];
   int64_t age = (int64_t)m->ticks - h->ticks;
   int64_t cap = m->capacity;
-  int64_t chance = PERMILLE;
+  int64_t probability = PERMILLE;
 
   if (cap > 0)
-    chance = (11 * cap - 10 * age) * PERMILLE / (2 * cap);
-  if (chance > PERMILLE)
-    chance = PERMILLE;
-  if (chance < 0)
-    chance = 0;
-  return (int)(h->gaps == m->gaps ? chance : chance / 2);
+    probability = (11 * cap - 10 * age) * PERMILLE / (2 * cap);
+  if (probability > PERMILLE)
+    probability = PERMILLE;
+  if (probability < 0)
+    probability = 0;
+  return (int)(h->gaps == m->gaps ? probability : probability / 2);
 }
 
 /* --- entries --------------------------------------------------------- */
@@ -230,11 +235,11 @@
   APR_RING_INSERT_TAIL (&p->lru, e, entry, link);
 }
 
-/* Put ENDPOINT first among the holders. */
+/* Makes ENDPOINT the most recent holder. */
 static void
 add_holder (const struct pfx *p, struct entry *e, int endpoint)
 {
-  const struct memory *m = &p->memories[endpoint];
+  const struct cache *m = &p->caches[endpoint];
   int i;
 
   for (i = 0; i < PFX_HOLDERS - 1; i++)
@@ -243,19 +248,19 @@
   for (; i > 0; i--)
     e->holders[i] = e->holders[i - 1];
   e->holders[0].endpoint = (int16_t)endpoint;
-  e->holders[0].life = m->life;
+  e->holders[0].generation = m->generation;
   e->holders[0].gaps = m->gaps;
   e->holders[0].ticks = m->ticks;
 }
 
-/* Note that ENDPOINT has just processed the prompt with these digests. */
+/* Records that ENDPOINT has just processed the prompt with these digests. */
 void
 pfx_record (struct pfx *p, const uint64_t *digests, int n, int endpoint)
 {
   struct entry *e;
   int i;
 
-  /* From the tail on: the head of a prompt stays the most recently used. */
+  /* Last block first, so that the first block is the most recently used. */
   for (i = n - 1; i >= 0; i--)
     {
       e = g_hash_table_lookup (p->by_digest, &digests[i]);
@@ -267,7 +272,7 @@
     }
 }
 
-/* An event says that ENDPOINT has evicted the block. */
+/* Handles the event that ENDPOINT has evicted the block. */
 void
 pfx_remove (struct pfx *p, uint64_t digest, int endpoint)
 {
@@ -283,8 +288,8 @@
     e->holders[to++].endpoint = -1;
 }
 
-/* The endpoint's answer told how many leading BLOCKS it had in memory: what
-   was believed beyond them is wrong. */
+/* The answer of the endpoint reported that it had BLOCKS leading blocks in its
+   cache: removes its entries for further blocks. */
 void
 pfx_remove_beyond (struct pfx *p, const uint64_t *digests, int n, int endpoint,
                    int blocks)
@@ -301,21 +306,22 @@
 add_hit (const struct pfx *p, struct pfx_hit *hits, int nhits,
          const struct holder *h, int blocks)
 {
-  int chance = chance_permille (p, h);
+  int probability = probability_permille (p, h);
   int i;
 
   for (i = 0; i < nhits; i++)
     if (hits[i].endpoint == h->endpoint)
       return nhits;
-  if (chance == 0)
+  if (probability == 0)
     return nhits;
-  hits[nhits] = (struct pfx_hit){ h->endpoint, blocks, chance };
+  hits[nhits] = (struct pfx_hit){ h->endpoint, blocks, probability };
   return nhits + 1;
 }
 
 /*
- * Endpoints that hold a head of the prompt, deepest first.  The chain makes
- * one probe from the deep end enough: an entry at depth I implies its head.
+ * Endpoints that hold a prefix of the prompt, longest prefix first.  Digests
+ * are chained, so an entry for block I implies all blocks before it, and the
+ * search starts at the last block.
  */
 int
 pfx_lookup (struct pfx *p, const uint64_t *digests, int n,
@@ -331,7 +337,7 @@
       if (e == NULL)
         continue;
       for (h = 0; h < PFX_HOLDERS && nhits < max_hits; h++)
-        if (valid (p, &e->holders[h]))
+        if (is_valid (p, &e->holders[h]))
           nhits = add_hit (p, hits, nhits, &e->holders[h], i + 1);
       if (nhits == max_hits)
         break;
--- a/plan.c
+++ b/plan.c
@@ -1,15 +1,17 @@
 /*
- * The cheapest way to a first token at one endpoint: compute the prompt,
- * import what a store holds, or import its head and compute the tail.
+ * Chooses how a prompt is prefilled at one endpoint at the least cost: compute
+ * all of it, import what a store holds, or import the leading part of that and
+ * compute the rest.
  *
  * The time to first token is piecewise linear in the number of imported
- * tokens, with one corner where the import ends just when the endpoint's
- * queue does; so the least is at no import, at that corner, or at all.
+ * tokens, with one corner where the import ends at the same time as the queue
+ * of the endpoint.  So the minimum is at no import, at that corner, or at the
+ * import of all tokens that the store holds.
  */
 #include "kept.h"
 
 #define US_PER_S INT64_C (1000000)
-#define MARGIN_PERCENT 10 /* least saving of an import */
+#define MARGIN_PERCENT 10 /* least saving of an import, in percent */
 
 static int64_t
 tokens_us (int64_t tokens, int64_t tokens_s)
@@ -24,8 +26,8 @@
 }
 
 static struct plan
-price (const struct plan_in *in, const struct plan_source *s, int64_t to,
-       const struct plan_weights *w)
+estimate (const struct plan_in *in, const struct plan_source *s, int64_t to,
+          const struct plan_weights *w)
 {
   struct plan p = { .store = -1, .import_to = in->cached_tokens };
   int64_t moving_us = 0;
@@ -39,7 +41,7 @@
     }
   p.compute_us
       = tokens_us (in->prompt_tokens - p.import_to, in->prefill_tokens_s);
-  /* The import goes on while earlier prompts are being computed. */
+  /* The import runs while the endpoint computes the prompts in its queue. */
   p.first_us
       = in->network_us + max64 (in->queue_us, p.import_us) + p.compute_us;
   p.score = (w->first * p.first_us + w->recompute * p.compute_us
@@ -48,9 +50,10 @@
   return p;
 }
 
-/* Tokens whose import ends when the queue does, in whole segments. */
+/* Leading tokens after an import that ends with the queue, in whole segments.
+ */
 static int64_t
-free_import (const struct plan_in *in, const struct plan_source *s)
+overlapped_import (const struct plan_in *in, const struct plan_source *s)
 {
   int64_t spare = in->queue_us - s->wait_us - s->setup_us;
   int64_t to;
@@ -63,11 +66,12 @@
 }
 
 /*
- * A link's time is known less well than an endpoint's, as others share it
- * unseen; an import has to save enough to be worth that risk.
+ * The time of a transfer is less predictable than that of an endpoint, because
+ * other VMs share the link and their transfers are not visible.  So an import
+ * must save at least MARGIN_PERCENT of the score.
  */
 static bool
-worth_risk (const struct plan *import, const struct plan *compute)
+is_worth_import (const struct plan *import, const struct plan *compute)
 {
   return import->score * 100 < compute->score * (100 - MARGIN_PERCENT);
 }
@@ -81,8 +85,8 @@
 
   if (to > s->tokens)
     return;
-  p = price (in, s, to, w);
-  if (p.score < best->score && worth_risk (&p, compute))
+  p = estimate (in, s, to, w);
+  if (p.score < best->score && is_worth_import (&p, compute))
     *best = p;
 }
 
@@ -90,18 +94,18 @@
 plan_best (const struct plan_in *in, const struct plan_source *sources,
            int nsources, const struct plan_weights *weights)
 {
-  const struct plan compute = price (in, NULL, 0, weights);
+  const struct plan compute = estimate (in, NULL, 0, weights);
   struct plan best = compute;
   int64_t corner;
   int i;
 
   for (i = 0; i < nsources; i++)
     {
-      corner = free_import (in, &sources[i]);
+      corner = overlapped_import (in, &sources[i]);
       try_import (&best, &compute, in, &sources[i], sources[i].tokens,
                   weights);
       try_import (&best, &compute, in, &sources[i], corner, weights);
-      /* The corner lies between two whole segments. */
+      /* The corner lies between two segment boundaries; try both. */
       try_import (&best, &compute, in, &sources[i],
                   corner + in->segment_tokens, weights);
     }
--- a/route.c
+++ b/route.c
@@ -1,11 +1,12 @@
 /*
- * Routing: the endpoint with the least score, which is the expected time to
- * first token, the time to recompute and the time on a store's link, each
- * times the weight that the service's operator declared.
+ * Routing: chooses the endpoint with the least score.  The score is the
+ * weighted sum of the expected time to first token, the time to recompute and
+ * the time on a store's link; the operator of the service sets the weights.
  *
- * Load reports lag, so an endpoint's load is its report plus what this VM has
- * sent since.  Several VMs choosing from the same stale report would all take
- * the same endpoint; the choice is therefore random among the near-best.
+ * Load reports are delayed, so the load of an endpoint is its report plus what
+ * this VM has sent since.  Several VMs with the same stale report would all
+ * choose the same best endpoint; the choice is therefore random among the
+ * endpoints with a score close to the best.
  */
 #include "decide.h"
 
@@ -13,14 +14,14 @@
 #include <glib.h>
 #include <string.h>
 
-#define EJECT_BASE_US (CQ_US_PER_S / 2) /* pause after the first failure */
-#define EJECT_MAX_DOUBLINGS 6           /* longest pause: 32 s */
-#define EJECT_BREAKS 3                  /* broken connections in a row */
-#define NEAR_PERCENT 10                 /* near-best: within this share */
-#define SCAN_MAX 64       /* up to so many endpoints, all are compared */
-#define SCRATCH_EXTRA 128 /* a sample may meet an endpoint twice */
-#define SAMPLE 48         /* else the believed holders and so many at random */
-#define NEAR_FLOOR_US 500 /* and always within this much */
+#define EJECT_BASE_US (CQ_US_PER_S / 2) /* backoff after the first failure */
+#define EJECT_MAX_DOUBLINGS 6           /* longest backoff: 32 s */
+#define EJECT_BROKEN_CONNS 3            /* consecutive broken connections */
+#define NEAR_PERCENT 10                 /* close to the best: within this */
+#define SCAN_MAX_ENDPOINTS 64 /* of larger services a sample is compared */
+#define SCRATCH_EXTRA 128     /* a sample may contain an endpoint twice */
+#define SAMPLE_SIZE 48        /* random endpoints, besides probable holders */
+#define NEAR_MIN_US 500       /* or within this time */
 
 /* Endpoints of one service. */
 struct members
@@ -33,7 +34,7 @@
 {
   struct route_endpoint *endpoints; /* all endpoints */
   int count;                        /* entries in use */
-  int room;                         /* entries allocated */
+  int allocated;                    /* entries allocated */
   uint64_t seed;                    /* state of the random generator */
   struct route_choice *scratch;     /* terms of each candidate */
   struct members *services;         /* by index of the service */
@@ -81,12 +82,13 @@
 int
 route_add (struct route_table *t, const struct route_opts *opts)
 {
-  if (t->count == t->room)
+  if (t->count == t->allocated)
     {
-      t->room = t->room ? t->room * 2 : 16;
-      t->endpoints = g_renew (struct route_endpoint, t->endpoints, t->room);
-      t->scratch
-          = g_renew (struct route_choice, t->scratch, t->room + SCRATCH_EXTRA);
+      t->allocated = t->allocated ? t->allocated * 2 : 16;
+      t->endpoints
+          = g_renew (struct route_endpoint, t->endpoints, t->allocated);
+      t->scratch = g_renew (struct route_choice, t->scratch,
+                            t->allocated + SCRATCH_EXTRA);
     }
   t->endpoints[t->count] = (struct route_endpoint){ .opts = *opts };
   add_member (t, opts->service, t->count);
@@ -105,7 +107,7 @@
   return &t->endpoints[endpoint];
 }
 
-/* splitmix64: a small seeded generator, so that runs can be repeated. */
+/* splitmix64: a small seeded generator, so that runs are reproducible. */
 static uint64_t
 next_random (struct route_table *t)
 {
@@ -129,7 +131,7 @@
   return ROUTE_OK;
 }
 
-/* Number of the first remembered send that the report cannot know. */
+/* Number of the first recorded send that the report does not include. */
 static unsigned
 first_unreported (const struct route_endpoint *e)
 {
@@ -141,7 +143,7 @@
 }
 
 static int
-sent_since (const struct route_endpoint *e)
+sends_since_report (const struct route_endpoint *e)
 {
   return (int)(e->nsends - first_unreported (e));
 }
@@ -149,13 +151,14 @@
 static int
 load_of (const struct route_endpoint *e)
 {
-  int reported = e->report.running + sent_since (e) - e->done_since_report;
+  int reported
+      = e->report.running + sends_since_report (e) - e->done_since_report;
 
   return reported > e->running ? reported : e->running;
 }
 
 static int
-free_at (const struct route_endpoint *e)
+free_slots_of (const struct route_endpoint *e)
 {
   int n = e->opts.slots - load_of (e);
 
@@ -163,7 +166,7 @@
 }
 
 static bool
-excluded (const struct route_query *q, int endpoint)
+is_excluded (const struct route_query *q, int endpoint)
 {
   int i;
 
@@ -179,8 +182,8 @@
   return tokens_s > 0 ? tokens * CQ_US_PER_S / tokens_s : 0;
 }
 
-/* Expected leading tokens in the endpoint's memory: believed, times the
-   chance that they are still there. */
+/* Expected leading tokens in the endpoint's cache: the tokens it probably
+   holds, times the probability that it still holds them. */
 static int64_t
 cached_tokens (const struct route_query *q, int endpoint)
 {
@@ -199,16 +202,16 @@
 }
 
 static int64_t
-drained (int64_t queue_us, int64_t passed_us)
+queue_after (int64_t queue_us, int64_t elapsed_us)
 {
-  return queue_us > passed_us ? queue_us - passed_us : 0;
+  return queue_us > elapsed_us ? queue_us - elapsed_us : 0;
 }
 
 /*
- * Time before a new prompt's turn.  The report is old, so it is carried
- * forward: the prompts it counted have been worked on since, and those sent
- * since came on top.  Without this a burst of sends hides in the report's lag
- * and the next requests join a queue that looks empty.
+ * Expected queueing time of a new prompt.  The report is old, so it is
+ * extrapolated: the endpoint has processed queued prompts since, and prompts
+ * sent since were added.  Otherwise a burst would be invisible until the next
+ * report, and further requests would join a queue that seems empty.
  */
 static int64_t
 queue_us (const struct route_endpoint *e, int64_t now_us)
@@ -222,18 +225,18 @@
   for (i = first_unreported (e); i < e->nsends; i++)
     {
       s = &e->sends[i % ROUTE_SENDS];
-      us = drained (us, s->at_us - at)
+      us = queue_after (us, s->at_us - at)
            + tokens_us (s->tokens, o->prefill_tokens_s);
       at = s->at_us;
     }
-  us = drained (us, now_us - at);
-  /* And about one decode step for each request that runs. */
+  us = queue_after (us, now_us - at);
+  /* Add about one decode step for each running request, over the slots. */
   return us + load_of (e) * o->decode_us / (o->slots > 0 ? o->slots : 1);
 }
 
 static struct route_choice
-price (const struct route_endpoint *e, const struct route_query *q, int i,
-       int64_t now_us)
+estimate (const struct route_endpoint *e, const struct route_query *q, int i,
+          int64_t now_us)
 {
   struct route_choice c = { .code = ROUTE_CHOSEN, .endpoint = i };
   struct plan_in in = { .prompt_tokens = q->prompt_tokens };
@@ -258,12 +261,12 @@
 }
 
 /*
- * Whether E may be chosen; otherwise *WORST is raised to the reason that is
- * closest to success, so that the refusal names the real obstacle.
+ * Whether E may be chosen.  Otherwise *WHY is raised to the reason that is
+ * closest to success, so that the refusal names the actual obstacle.
  */
 static bool
-eligible (const struct route_endpoint *e, const struct route_query *q, int i,
-          int64_t now_us, enum route_code *why)
+is_eligible (const struct route_endpoint *e, const struct route_query *q,
+             int i, int64_t now_us, enum route_code *why)
 {
   enum route_code code;
 
@@ -271,9 +274,9 @@
     return false;
   if (q->version != NULL && strcmp (e->report.version, q->version) != 0)
     code = ROUTE_NO_VERSION;
-  else if (route_state (e, now_us) != ROUTE_OK || excluded (q, i))
+  else if (route_state (e, now_us) != ROUTE_OK || is_excluded (q, i))
     code = ROUTE_ALL_DOWN;
-  else if (free_at (e) == 0)
+  else if (free_slots_of (e) == 0)
     code = ROUTE_BUSY;
   else
     return true;
@@ -283,14 +286,14 @@
 }
 
 static int
-choose_near (struct route_table *t, int n, int64_t best)
+choose_near_best (struct route_table *t, int n, int64_t best)
 {
   int64_t bound = best + best * NEAR_PERCENT / 100;
   int near = 0;
   int pick, i;
 
-  if (bound < best + NEAR_FLOOR_US)
-    bound = best + NEAR_FLOOR_US;
+  if (bound < best + NEAR_MIN_US)
+    bound = best + NEAR_MIN_US;
   for (i = 0; i < n; i++)
     if (t->scratch[i].score <= bound)
       t->scratch[near++] = t->scratch[i];
@@ -303,50 +306,51 @@
 /* Candidates collected so far. */
 struct shortlist
 {
-  int n;               /* entries of the scratch in use */
+  int n;               /* entries of scratch in use */
   int64_t best;        /* least score */
-  enum route_code why; /* reason closest to success, if none */
+  enum route_code why; /* if none: the reason closest to success */
 };
 
 static void
-consider (struct route_table *t, const struct route_query *q, int i,
-          int64_t now_us, struct shortlist *l)
+add_candidate (struct route_table *t, const struct route_query *q, int i,
+               int64_t now_us, struct shortlist *l)
 {
   const struct route_endpoint *e = &t->endpoints[i];
 
-  if (!eligible (e, q, i, now_us, &l->why))
+  if (!is_eligible (e, q, i, now_us, &l->why))
     return;
-  t->scratch[l->n] = price (e, q, i, now_us);
+  t->scratch[l->n] = estimate (e, q, i, now_us);
   if (t->scratch[l->n].score < l->best)
     l->best = t->scratch[l->n].score;
   l->n++;
 }
 
 /*
- * Among many endpoints the best is a believed holder of the prompt, or one of
- * many with a short queue; of those a sample finds one that is hardly worse,
- * at a cost that does not grow with their number.
+ * Among many endpoints the best one probably holds a prefix of the prompt or
+ * is one of many with a short queue.  A sample contains one that is hardly
+ * worse, at a cost that does not grow with the number of endpoints.
  */
 static void
-consider_sample (struct route_table *t, const struct route_query *q,
-                 const struct members *m, int64_t now_us, struct shortlist *l)
+add_sample (struct route_table *t, const struct route_query *q,
+            const struct members *m, int64_t now_us, struct shortlist *l)
 {
   int i;
 
   for (i = 0; i < q->nhits; i++)
-    consider (t, q, q->hits[i].endpoint, now_us, l);
-  for (i = 0; i < SAMPLE; i++)
-    consider (t, q, m->endpoints[next_random (t) % (uint64_t)m->n], now_us, l);
+    add_candidate (t, q, q->hits[i].endpoint, now_us, l);
+  for (i = 0; i < SAMPLE_SIZE; i++)
+    add_candidate (t, q, m->endpoints[next_random (t) % (uint64_t)m->n],
+                   now_us, l);
 }
 
 static void
-consider_all (struct route_table *t, const struct route_query *q,
-              const struct members *m, int64_t now_us, struct shortlist *l)
+add_all (struct route_table *t, const struct route_query *q,
+         const struct members *m, int64_t now_us, struct shortlist *l)
 {
   int i;
 
   for (i = 0; i < m->n; i++)
-    consider (t, q, m->endpoints[i], now_us, l);
+    add_candidate (t, q, m->endpoints[i], now_us, l);
 }
 
 struct route_choice
@@ -359,47 +363,47 @@
   if (q->service < t->nservices)
     {
       m = &t->services[q->service];
-      if (m->n > SCAN_MAX)
-        consider_sample (t, q, m, now_us, &l);
-      /* None of a sample may be free while others are. */
+      if (m->n > SCAN_MAX_ENDPOINTS)
+        add_sample (t, q, m, now_us, &l);
+      /* All of the sample may be busy while other endpoints are free. */
       if (l.n == 0)
-        consider_all (t, q, m, now_us, &l);
+        add_all (t, q, m, now_us, &l);
     }
   if (l.n == 0)
     {
       c.code = l.why;
       return c;
     }
-  c = t->scratch[choose_near (t, l.n, l.best)];
+  c = t->scratch[choose_near_best (t, l.n, l.best)];
   c.candidates = l.n;
   return c;
 }
 
-/* Places of a service in all, at endpoints that may get new work. */
+/* Slots of all endpoints of a service that may get new requests. */
 int
 route_slots (const struct route_table *t, int service, int64_t now_us)
 {
-  int places = 0;
+  int slots = 0;
   int i;
 
   for (i = 0; i < t->count; i++)
     if (t->endpoints[i].opts.service == service
         && route_state (&t->endpoints[i], now_us) == ROUTE_OK)
-      places += t->endpoints[i].opts.slots;
-  return places;
+      slots += t->endpoints[i].opts.slots;
+  return slots;
 }
 
 int
 route_free_slots (const struct route_table *t, int service, int64_t now_us)
 {
-  int places = 0;
+  int slots = 0;
   int i;
 
   for (i = 0; i < t->count; i++)
     if (t->endpoints[i].opts.service == service
         && route_state (&t->endpoints[i], now_us) == ROUTE_OK)
-      places += free_at (&t->endpoints[i]);
-  return places;
+      slots += free_slots_of (&t->endpoints[i]);
+  return slots;
 }
 
 void
@@ -434,9 +438,10 @@
 }
 
 /*
- * Learn how a call went.  A dead endpoint is left alone for a pause that
- * doubles, else each request would pay a connect failure first.  One broken
- * connection says little, and must not take a service's only endpoint away.
+ * Updates the health state of an endpoint.  An unreachable endpoint is ejected
+ * with exponential backoff, as otherwise each request would first wait for a
+ * connection failure.  A single broken connection is weak evidence and must
+ * not eject the only endpoint of a service.
  */
 void
 route_result (struct route_table *t, int endpoint, enum route_result result,
@@ -452,7 +457,7 @@
       e->retry_us = 0;
       break;
     case ROUTE_CONN_BROKEN:
-      if (++e->broken_conns >= EJECT_BREAKS)
+      if (++e->broken_conns >= EJECT_BROKEN_CONNS)
         eject (e, now_us);
       break;
     case ROUTE_UNREACHABLE:
@@ -462,9 +467,9 @@
 }
 
 /*
- * Take in a load report.  Leaving is sticky for an incarnation: a report that
- * was delayed, or a list that lags, cannot bring it back; only a new life of
- * the endpoint does.
+ * Stores a load report.  Leaving is final for an incarnation: a delayed report
+ * or an outdated list does not reverse it; only a new incarnation of the
+ * endpoint does.
  */
 void
 route_set_report (struct route_table *t, int endpoint,
