--- a/link.c
+++ b/link.c
@@ -1,13 +1,12 @@
-/* Bandwidth of the link to a store: admission and expected time of transfers.
- */
+/* Link of a store: admission and expected time of its transfers. */
 #include "kept.h"
 
 #define US_PER_S INT64_C (1000000)
-#define SMOOTHING 4 /* divisor of the EWMA of the rate */
-#define MIN_RATE_BYTES_S                                                      \
-  100000                   /* lower bound of the rate, in bytes per second */
+#define SMOOTHING 4             /* divisor of the EWMA of the rate */
+#define MIN_RATE_BYTES_S 100000 /* lower bound of the measured rate */
 #define OTHERS_SMOOTHING 4 /* divisor of the EWMA of the wait for others */
-/* Then a link that seemed busy is tried again. */
+/* Half-life of the expected wait for others: it decays without new samples, so
+   that a link that seemed busy is tried again. */
 #define OTHERS_HALF_LIFE_US (20 * US_PER_S)
 #define OTHERS_MAX_HALVINGS 20
 
@@ -69,9 +68,9 @@
 
 /*
  * Whether a transfer may be requested.  Imports were already compared with
- * recomputing.  Exports and copies may queue for at most BUDGET_US, including
- * their own transfer, so that exporting a long prompt does not delay the
- * import of a prompt that returns.
+ * recomputing.  Exports and copies only use time in which no caller waits for
+ * the link, and finish within BUDGET_US by estimate, so that exporting a long
+ * prompt does not delay the import of a prompt that returns.
  */
 bool
 link_admit (const struct link *l, enum link_class class, int64_t bytes,
--- a/plan.c
+++ b/plan.c
@@ -50,8 +50,7 @@
   return p;
 }
 
-/* Leading tokens after an import that ends with the queue, in whole segments.
- */
+/* Leading tokens, in whole segments, of an import that ends with the queue. */
 static int64_t
 overlapped_import (const struct plan_in *in, const struct plan_source *s)
 {
--- a/regress/test-admit.c
+++ b/regress/test-admit.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of admission: the test plays callers, VMs and endpoints with
- * queues in steps of 1 ms, and counts what callers get.
+ * Unit tests of admission control: simulates callers, VMs and endpoints with
+ * queues in steps of 1 ms, and counts the outcomes.
  */
 #include <glib.h>
 #include <string.h>
@@ -9,75 +9,77 @@
 #include "units.h"
 
 #define MS CQ_US_PER_MS
-#define VMS 9                /* each with an admission of its own */
-#define ENDPOINTS 12         /* of one service */
-#define SLOTS 12             /* requests that one runs at once */
-#define QUEUE 36             /* and holds beside them */
-#define SERVICE_MS 200       /* mean time that one runs */
-#define AIM_MS 400           /* an answer begins in time */
-#define PATIENCE_MS 2400     /* callers leave a queue */
-#define CAPACITY 720         /* that all endpoints do in a second */
-#define RETURN_MS 500        /* a refused caller returns after that, */
-#define RETURN_SPREAD_MS 500 /* or up to so much later */
-#define WARM_MS 3000         /* before anything is counted */
-#define PLAY_MS 15000        /* in all */
-#define RETURNS 65536        /* callers on their way back, at most */
+#define VMS 9               /* each with its own admission control */
+#define ENDPOINTS 12        /* endpoints of the service */
+#define SLOTS 12            /* slots per endpoint */
+#define QUEUE 36            /* queue length per endpoint */
+#define SERVICE_MS 200      /* mean run time of a request */
+#define TARGET_MS 400       /* target for the start of an answer */
+#define PATIENCE_MS 2400    /* callers give up after this time */
+#define CAPACITY 720        /* requests per second of all endpoints */
+#define RETRY_MS 500        /* least retry delay after a refusal */
+#define RETRY_SPREAD_MS 500 /* random addition to it */
+#define WARMUP_MS 3000      /* warm-up that is not counted */
+#define DURATION_MS 15000   /* duration of the simulation */
+#define RETRIES_MAX 65536   /* limit on pending retries */
 
 /* A caller's request. */
-struct ask
+struct request
 {
-  int first_ms; /* when the caller asked first */
-  int sent_ms;  /* and was let in */
-  int until_ms; /* while it runs: its end */
-  int vm;       /* through which it came */
+  int first_ms; /* time of the first attempt */
+  int sent_ms;  /* time of admission */
+  int until_ms; /* end of the run, once it runs */
+  int vm;       /* VM that admitted it */
 };
 
-/* An endpoint: requests that run and that wait, oldest first. */
-struct place
+/* An endpoint; queued requests are oldest first. */
+struct endpoint
 {
-  struct ask running[SLOTS]; /* see above */
-  struct ask waiting[QUEUE]; /* see above */
-  int nrunning;              /* entries in running */
-  int nwaiting;              /* entries in waiting */
+  struct request running[SLOTS]; /* running requests */
+  struct request waiting[QUEUE]; /* queued requests */
+  int nrunning;                  /* entries in running */
+  int nwaiting;                  /* entries in waiting */
 };
 
-/* All that one play holds. */
-struct world
+/* State of one simulation. */
+struct simulation
 {
-  struct admit admits[VMS];       /* of each VM */
-  struct place places[ENDPOINTS]; /* the service */
-  struct ask back[RETURNS];       /* callers who return, as refused */
-  int back_ms[RETURNS];           /* when each does */
-  int from, to;                   /* of that ring */
-  int now_ms;                     /* present time */
-  bool steered;                   /* VMs refuse by what they learned */
-  int in_time, late, refused;     /* what callers got since WARM_MS */
-  GRand *rand;                    /* draws */
+  struct admit admits[VMS];             /* admission control by VM */
+  struct endpoint endpoints[ENDPOINTS]; /* endpoints */
+  struct request retries[RETRIES_MAX];  /* ring of refused requests to retry */
+  int retry_ms[RETRIES_MAX];            /* time of each retry */
+  int from, to;                         /* bounds of the ring in use */
+  int now_ms;                           /* current time */
+  bool controlled;                      /* admission control is enabled */
+  int in_time, late, refused;           /* outcomes since WARMUP_MS */
+  GRand *rand;                          /* random generator */
 };
 
 static void
-count (struct world *w, int *counter)
+count (struct simulation *w, int *counter)
 {
-  if (w->now_ms >= WARM_MS)
+  if (w->now_ms >= WARMUP_MS)
     (*counter)++;
 }
 
 static void
-saw (struct world *w, const struct place *p, const struct ask *a)
+add_sample (struct simulation *w, const struct endpoint *p,
+            const struct request *a)
 {
   struct admit_sample seen
       = { .running = p->nrunning, .waiting = p->nwaiting };
 
   seen.wait_us = (w->now_ms - a->sent_ms) * MS;
-  seen.target_us = AIM_MS * MS;
+  seen.target_us = TARGET_MS * MS;
   admit_add_sample (&w->admits[a->vm], &seen, w->now_ms * MS);
 }
 
-/* A place came free: the oldest that did not leave begins. */
+/* Fills free slots with the oldest requests whose callers have not given up.
+ */
 static void
-begin_next (struct world *w, struct place *p)
+begin_next (struct simulation *w, struct endpoint *p)
 {
-  struct ask a;
+  struct request a;
 
   while (p->nrunning < SLOTS && p->nwaiting > 0)
     {
@@ -88,13 +90,13 @@
         continue;
       a.until_ms = w->now_ms + g_rand_int_range (w->rand, 1, 2 * SERVICE_MS);
       p->running[p->nrunning++] = a;
-      count (w, w->now_ms - a.first_ms <= AIM_MS ? &w->in_time : &w->late);
-      saw (w, p, &a);
+      count (w, w->now_ms - a.first_ms <= TARGET_MS ? &w->in_time : &w->late);
+      add_sample (w, p, &a);
     }
 }
 
 static void
-end_done (struct world *w, struct place *p)
+end_done (struct simulation *w, struct endpoint *p)
 {
   int i;
 
@@ -105,27 +107,27 @@
 }
 
 static void
-refuse (struct world *w, const struct ask *a)
+refuse (struct simulation *w, const struct request *a)
 {
-  bool again = w->now_ms - a->first_ms < RETURN_MS;
+  bool may_retry = w->now_ms - a->first_ms < RETRY_MS;
 
   count (w, &w->refused);
-  if (!again)
+  if (!may_retry)
     return;
-  w->back[w->to] = *a;
-  w->back_ms[w->to] = w->now_ms + RETURN_MS
-                      + g_rand_int_range (w->rand, 0, RETURN_SPREAD_MS);
-  w->to = (w->to + 1) % RETURNS;
+  w->retries[w->to] = *a;
+  w->retry_ms[w->to]
+      = w->now_ms + RETRY_MS + g_rand_int_range (w->rand, 0, RETRY_SPREAD_MS);
+  w->to = (w->to + 1) % RETRIES_MAX;
 }
 
-/* Through one VM to the shorter queue of two. */
+/* Sends a request to the less loaded of two random endpoints. */
 static void
-arrive (struct world *w, struct ask a)
+arrive (struct simulation *w, struct request a)
 {
   struct admit *admit = &w->admits[a.vm];
   int64_t now_us = w->now_ms * MS;
-  struct place *p = &w->places[g_rand_int_range (w->rand, 0, ENDPOINTS)];
-  struct place *q = &w->places[g_rand_int_range (w->rand, 0, ENDPOINTS)];
+  struct endpoint *p = &w->endpoints[g_rand_int_range (w->rand, 0, ENDPOINTS)];
+  struct endpoint *q = &w->endpoints[g_rand_int_range (w->rand, 0, ENDPOINTS)];
   int rank, keep;
 
   rank = admit_rank (0, w->now_ms > a.first_ms);
@@ -133,7 +135,7 @@
   if (q->nrunning + q->nwaiting < p->nrunning + p->nwaiting)
     p = q;
   keep = admit_rank_permille (admit, rank, admit_permille (admit, now_us));
-  if ((w->steered && g_rand_int_range (w->rand, 0, CQ_PERMILLE) >= keep)
+  if ((w->controlled && g_rand_int_range (w->rand, 0, CQ_PERMILLE) >= keep)
       || p->nwaiting == QUEUE)
     {
       refuse (w, &a);
@@ -145,17 +147,17 @@
 }
 
 static void
-play_ms (struct world *w, int a_second)
+simulate_ms (struct simulation *w, int per_second)
 {
-  struct ask a = { .first_ms = w->now_ms };
-  int i, n = a_second / 1000;
+  struct request a = { .first_ms = w->now_ms };
+  int i, n = per_second / 1000;
 
   for (i = 0; i < ENDPOINTS; i++)
-    end_done (w, &w->places[i]);
-  for (; w->from != w->to && w->back_ms[w->from] <= w->now_ms;
-       w->from = (w->from + 1) % RETURNS)
-    arrive (w, w->back[w->from]);
-  n += g_rand_int_range (w->rand, 0, 1000) < a_second % 1000;
+    end_done (w, &w->endpoints[i]);
+  for (; w->from != w->to && w->retry_ms[w->from] <= w->now_ms;
+       w->from = (w->from + 1) % RETRIES_MAX)
+    arrive (w, w->retries[w->from]);
+  n += g_rand_int_range (w->rand, 0, 1000) < per_second % 1000;
   for (i = 0; i < n; i++)
     {
       a.vm = g_rand_int_range (w->rand, 0, VMS);
@@ -163,46 +165,47 @@
     }
 }
 
-/* Callers who ask A_SECOND times a second for all of the play. */
-static struct world *
-play (int a_second, bool steered, guint32 seed)
+/* Simulates a load of PER_SECOND new requests per second. */
+static struct simulation *
+simulate (int per_second, bool controlled, guint32 seed)
 {
-  struct world *w = g_new0 (struct world, 1);
+  struct simulation *w = g_new0 (struct simulation, 1);
   int i;
 
   w->rand = g_rand_new_with_seed (seed);
-  w->steered = steered;
+  w->controlled = controlled;
   for (i = 0; i < VMS; i++)
     admit_init (&w->admits[i]);
-  for (; w->now_ms < PLAY_MS; w->now_ms++)
-    play_ms (w, a_second);
+  for (; w->now_ms < DURATION_MS; w->now_ms++)
+    simulate_ms (w, per_second);
   return w;
 }
 
 static void
-world_free (struct world *w)
+simulation_free (struct simulation *w)
 {
   g_rand_free (w->rand);
   g_free (w);
 }
 
 static int
-in_time (int a_second, bool steered)
+in_time (int per_second, bool controlled)
 {
-  struct world *w = play (a_second, steered, 1);
-  int n = w->in_time * 1000 / (PLAY_MS - WARM_MS);
+  struct simulation *w = simulate (per_second, controlled, 1);
+  int n = w->in_time * 1000 / (DURATION_MS - WARMUP_MS);
 
-  g_test_message ("%d a second, %s: %d in time, %d late, %d refused", a_second,
-                  steered ? "steered" : "not", n, w->late, w->refused);
-  world_free (w);
+  g_test_message ("%d per second, %s: %d in time, %d late, %d refused",
+                  per_second, controlled ? "controlled" : "uncontrolled", n,
+                  w->late, w->refused);
+  simulation_free (w);
   return n;
 }
 
 /*
- * Callers ask up to four times as much as the endpoints can do.  Each is told
- * at once whether it is let in; those let in are answered in time, as many a
- * second as under any lower load, less a tenth.  Without admission queues are
- * full, and less than a third of the callers who are answered is in time.
+ * The load is up to four times the capacity.  The rate of answers in time must
+ * stay within a tenth of the best rate under any lower load.  Without
+ * admission control the queues are full, and the rate is less than a third of
+ * that.
  */
 static void
 test_overload (void)
@@ -221,41 +224,41 @@
   g_assert_cmpint (in_time (CAPACITY * 26 / 10, false), <, best / 3);
 }
 
-/* Endpoints that are nine tenths busy: queues come and go by themselves, and
-   nobody is refused for them but one in a hundred. */
+/* At nine tenths of the capacity, queues are short-lived: less than one
+   request in a hundred is refused. */
 static void
 test_busy (void)
 {
-  struct world *w = play (CAPACITY * 9 / 10, true, 2);
+  struct simulation *w = simulate (CAPACITY * 9 / 10, true, 2);
 
   g_assert_cmpint (w->refused, <, (w->in_time + w->late) / 100);
   g_assert_cmpint (w->late, <, w->in_time / 100);
-  world_free (w);
+  simulation_free (w);
 }
 
-/* After an overload all are let in again within five seconds of calm: the
-   longest that a refused caller is told to wait. */
+/* After an overload all requests are admitted again within five seconds of
+   low load, the longest Retry-After of a refusal. */
 static void
 test_calm_again (void)
 {
-  struct world *w = play (CAPACITY * 4, true, 3);
+  struct simulation *w = simulate (CAPACITY * 4, true, 3);
   int i;
 
   for (i = 0; i < 5000; i++, w->now_ms++)
-    play_ms (w, CAPACITY / 2);
+    simulate_ms (w, CAPACITY / 2);
   w->refused = 0;
   for (i = 0; i < 1000; i++, w->now_ms++)
-    play_ms (w, CAPACITY / 2);
+    simulate_ms (w, CAPACITY / 2);
   g_assert_cmpint (w->refused, <, CAPACITY / 100);
-  world_free (w);
+  simulation_free (w);
 }
 
-/* Of an endpoint that says nothing any more nothing is held against callers.
- */
+/* Without further answers the state expires, and all requests are admitted. */
 static void
 test_silent (void)
 {
-  struct admit_sample full = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample full
+      = { .wait_us = 100 * MS, .target_us = TARGET_MS * MS };
   struct admit a;
   int i;
 
@@ -268,13 +271,13 @@
   g_assert_cmpint (admit_permille (&a, 13 * CQ_US_PER_S), ==, CQ_PERMILLE);
 }
 
-/* An answer took three times as long as it should, and nobody waited there:
-   fewer requests would not have made it faster, and nobody is refused. */
+/* Answers take three times the target, but nothing is queued at the endpoint:
+   fewer requests would not make them faster, so none are refused. */
 static void
 test_slow_alone (void)
 {
   struct admit_sample slow
-      = { .wait_us = 1200 * MS, .target_us = AIM_MS * MS };
+      = { .wait_us = 1200 * MS, .target_us = TARGET_MS * MS };
   struct admit a;
   int i;
 
@@ -286,17 +289,18 @@
 }
 
 /*
- * One endpoint of 48 has fallen behind, and a VM of many sees an answer in
- * 0.2 s: now and then it is from there, and tells of five times as many
- * requests that wait as run.  The service is not asked for too much, and of a
- * hundred callers not one is to be refused for it.
+ * One endpoint of 48 is slow.  A VM gets one answer in 0.2 s, a few of them
+ * from that endpoint, which reports five times as many queued requests as
+ * running ones.  The service is not overloaded, so less than one request in a
+ * hundred may be refused.
  */
 static void
 test_one_behind (void)
 {
-  struct admit_sample calm = { .wait_us = 100 * MS, .target_us = AIM_MS * MS };
+  struct admit_sample calm
+      = { .wait_us = 100 * MS, .target_us = TARGET_MS * MS };
   struct admit_sample behind
-      = { .wait_us = 400 * MS, .target_us = AIM_MS * MS };
+      = { .wait_us = 400 * MS, .target_us = TARGET_MS * MS };
   g_autoptr (GRand) rand = g_rand_new_with_seed (1);
   int64_t refused = 0;
   struct admit a;
@@ -308,19 +312,19 @@
   admit_init (&a);
   for (i = 1; i <= n; i++)
     {
-      bool hot = g_rand_int_range (rand, 0, 48) == 0;
+      bool is_slow = g_rand_int_range (rand, 0, 48) == 0;
 
-      admit_add_sample (&a, hot ? &behind : &calm, (int64_t)i * 200 * MS);
+      admit_add_sample (&a, is_slow ? &behind : &calm, (int64_t)i * 200 * MS);
       refused += CQ_PERMILLE - admit_permille (&a, (int64_t)i * 200 * MS);
     }
   g_test_message ("%d permille refused", (int)(refused / n));
-  /* Not an assertion, which would end the tests behind this one. */
+  /* Not an assertion, which would end the run before the next tests. */
   if (refused / n >= CQ_PERMILLE / 100)
     g_test_fail ();
 }
 
-/* Four in ten can be let in, and a fifth of what is asked for is urgent: the
-   urgent are let in, the least urgent lose most, and some of them are. */
+/* Four tenths of the demand can be served and a fifth is urgent: all urgent
+   requests are admitted, and the least urgent lose most but not all. */
 static void
 test_urgent_first (void)
 {
@@ -336,8 +340,8 @@
   g_assert_cmpint (admit_rank_permille (&a, 9, CQ_PERMILLE), ==, CQ_PERMILLE);
 }
 
-/* Callers of a route have 2.6 to 3 s; one who has 1.9 s left was refused
-   before, and goes behind all who ask for the first time. */
+/* First requests of a route have 2.6 to 3 s left.  One with 1.9 s left is
+   taken for a retry and ranks behind all first requests. */
 static void
 test_returned (void)
 {
--- a/regress/test-share.c
+++ b/regress/test-share.c
@@ -1,19 +1,19 @@
 /*
- * Unit tests of fair shares of an overloaded service: the test plays the load
- * and counts what each workspace gets.
+ * Unit tests of fair shares of an overloaded service: simulates the demand of
+ * workspaces and checks the share that each one gets.
  */
 #include <glib.h>
 
 #include "decide.h"
 #include "units.h"
 
-#define CALM 9 /* workspaces beside the loud one */
+#define CALM 9 /* workspaces with low demand, besides the loud one */
 #define S CQ_US_PER_S
 
-/* One second of requests: ten of each calm workspace, LOUD of the loud one,
-   spread over it. */
+/* Adds the demand of one second, evenly spread: ten requests of each calm
+   workspace and LOUD requests of the loud one. */
 static void
-play_second (struct share *s, int64_t at_us, int loud)
+add_second (struct share *s, int64_t at_us, int loud)
 {
   char name[8];
   int i, w;
@@ -31,10 +31,10 @@
 }
 
 /*
- * One workspace asks ten times as much as each of nine others, and the
- * service can do six tenths of it all.  Refused by chance, everybody loses
- * four in ten; the calm ones ask for less than their share and lose nothing.
- * The loud one gets what they leave: 24 of its 100.
+ * One workspace sends ten times as many requests as each of nine others, and
+ * the service can serve six tenths of all.  With random refusals each
+ * workspace would lose four in ten.  The calm ones stay below their share and
+ * must lose nothing; the loud one gets the rest, 24 of its 100.
  */
 static void
 test_loud (void)
@@ -43,27 +43,27 @@
   int t;
 
   for (t = 0; t < 5; t++)
-    play_second (&s, t * S, 100);
+    add_second (&s, t * S, 100);
   g_assert_cmpint (share_permille (&s, "calm3", 600), ==, CQ_PERMILLE);
   g_assert_cmpint (share_permille (&s, "loud", 600), >=, 220);
   g_assert_cmpint (share_permille (&s, "loud", 600), <=, 260);
   g_assert_cmpint (share_permille (&s, "loud", CQ_PERMILLE), ==, CQ_PERMILLE);
 }
 
-/* All ask for the same: all lose the same. */
+/* Workspaces with equal demand get equal shares. */
 static void
 test_equal (void)
 {
   struct share s = { .n = 0 };
 
-  play_second (&s, 0, 10);
+  add_second (&s, 0, 10);
   g_assert_cmpint (share_permille (&s, "calm3", 600), >=, 590);
   g_assert_cmpint (share_permille (&s, "calm3", 600), <=, 600);
   g_assert_cmpint (share_permille (&s, "loud", 600), ==,
                    share_permille (&s, "calm3", 600));
 }
 
-/* One workspace alone loses what must be lost. */
+/* A single workspace gets the share that can be served. */
 static void
 test_alone (void)
 {
@@ -73,23 +73,23 @@
   g_assert_cmpint (share_permille (&s, "loud", 600), ==, 600);
 }
 
-/* A burst is forgotten some seconds after it, and its entry is free again. */
+/* The demand of a burst decays within seconds, and its entry is freed. */
 static void
 test_forgotten (void)
 {
   struct share s = { .n = 0 };
   int t;
 
-  play_second (&s, 0, 100);
+  add_second (&s, 0, 100);
   for (t = 1; t < 20; t++)
-    play_second (&s, t * S, 10);
+    add_second (&s, t * S, 10);
   g_assert_cmpint (share_permille (&s, "loud", 600), >=, 500);
   share_add_demand (&s, "other", 100, 100 * S);
   g_assert_cmpint (s.n, ==, 1);
 }
 
-/* More workspaces than are told apart: one of which nothing is known loses as
-   large a part as all together, and nothing is written past the end. */
+/* With more workspaces than are tracked, an untracked one gets the overall
+   share, and nothing is written past the end of the table. */
 static void
 test_many (void)
 {
--- a/route.c
+++ b/route.c
@@ -286,7 +286,7 @@
 }
 
 static int
-choose_near_best (struct route_table *t, int n, int64_t best)
+choose_near (struct route_table *t, int n, int64_t best)
 {
   int64_t bound = best + best * NEAR_PERCENT / 100;
   int near = 0;
@@ -374,7 +374,7 @@
       c.code = l.why;
       return c;
     }
-  c = t->scratch[choose_near_best (t, l.n, l.best)];
+  c = t->scratch[choose_near (t, l.n, l.best)];
   c.candidates = l.n;
   return c;
 }
