--- a/regress/drive.c
+++ b/regress/drive.c
@@ -1,7 +1,7 @@
 /*
- * Scripted runs of the deciding library: reads commands, one a line, with the
- * time in the script, and prints what was decided.  "#" starts a comment that
- * is printed too, so that an expected output reads like the story it tells.
+ * Scripted runs of the decision library: reads one command per line, with
+ * times given in the script, and prints the decisions.  Comment lines, which
+ * start with "#", are copied to the output to explain what is expected.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 #define MAX_WORDS 16
 #define MAX_NAMED 64
 
-/* Words of the present line. */
+/* Words of the current line. */
 static char *words[MAX_WORDS];
 static int nwords;
 
@@ -54,7 +54,7 @@
   return i < nwords ? words[i] : "";
 }
 
-/* Value of "NAME=VALUE" among the words, or the fallback. */
+/* Value of the word "NAME=VALUE", or the fallback. */
 static const char *
 option (const char *name, const char *fallback)
 {
@@ -165,11 +165,11 @@
   printf ("%s: %s, expected wait %" G_GINT64_FORMAT " us", e->name,
           names[v.code], (gint64)v.wait_us);
   if (v.evicted != NULL)
-    printf (", pushes out %s", entry_name (v.evicted));
+    printf (", evicts %s", entry_name (v.evicted));
   putchar ('\n');
 }
 
-/* pop FREE_PLACES [COUNT] [share=N]: what starts, and holds a place. */
+/* pop FREE_SLOTS [COUNT] [share=N]: starts requests, which then hold slots. */
 static void
 do_pop (void)
 {
@@ -187,7 +187,7 @@
   putchar ('\n');
 }
 
-/* release WORKSPACE: a normal request of it gave its place back. */
+/* release WORKSPACE: one of its normal requests releases its slot. */
 static void
 do_release (void)
 {
@@ -200,7 +200,7 @@
   budget_init (&budget, (int)number (1), (int)number (2));
 }
 
-/* outage REQUESTS: each fails once and asks for a retry. */
+/* outage REQUESTS: each request fails once and tries to get a retry. */
 static void
 do_outage (void)
 {
@@ -370,7 +370,8 @@
           (gint64)p.compute_us, (gint64)p.first_us, (gint64)p.score);
 }
 
-/* uses COUNT / returns COUNT SECONDS: what a workspace's prompts did */
+/* uses COUNT / returns COUNT SECONDS: prompts used, and returned after a gap
+ */
 static void
 do_uses (void)
 {
@@ -398,7 +399,7 @@
                                    number (2) * CQ_US_PER_S));
 }
 
-/* worth AGE_S: of a segment of 512 tokens and 30 MB, six hours ahead */
+/* worth AGE_S: value of keeping 512 tokens in 30 MB for six hours */
 static void
 do_worth (void)
 {
@@ -414,7 +415,7 @@
 
 /* --- claims ---------------------------------------------------------- */
 
-/* row held|done ATTEMPT DIGEST GIVE_UP_MS, seen by ATTEMPT DIGEST at MS */
+/* row held|done ATTEMPT DIGEST GIVE_UP_MS, as read by ATTEMPT DIGEST at MS */
 static void
 do_row (void)
 {
@@ -441,8 +442,8 @@
 /* A command of the scripts. */
 struct command
 {
-  const char *name;   /* first word */
-  void (*run) (void); /* uses the words of the line */
+  const char *name;   /* first word of the line */
+  void (*run) (void); /* reads its arguments from words */
 };
 
 static const struct command commands[] = {
--- a/regress/limits.sh
+++ b/regress/limits.sh
@@ -1,7 +1,6 @@
-# Overload at three times what the endpoint takes.  One workspace floods,
-# another sends a little, a third sends urgent work.  Everything that was
-# dropped is answered "not-run", and the engine has run exactly the requests
-# that were answered.
+# Overload of an endpoint: one workspace sends a burst, another a few requests, a
+# third urgent requests.  Every refused or evicted request must be answered
+# "not-run", and the engine must have run exactly the answered requests.
 . ./lib.sh || exit 1
 make_key flood; make_key calm; make_key alarm; make_key op
 start_fake e1 engine
@@ -33,7 +32,7 @@
 start_vm a
 control e1 '{"decode_us":5000}'
 load() { "$top/bench/load" --address "$vm_a" "$@"; }
-# A flood of 200 at 48 at once; the others meanwhile, one at a time.
+# A burst of 200 requests, 48 at once; meanwhile the others, 2 at once each.
 load --key "$key_flood" --count 200 --concurrency 48 --tokens 20 >"$tmp/flood" &
 flood=$!
 wait_for has_line "$tmp/a.log" 'reason=workspace_queue_full'
@@ -48,5 +47,5 @@
 answered=$(($(n calm answered) + $(n alarm answered) + $(n flood answered)))
 [ "$(stat e1 runs)" = "$answered" ] && echo "runs at the engine = answered"
 
-# Urgent work without the right to it; a body, a rate and a burst too large.
+# Urgent requests without permission; a body, a rate and a burst over the limit.
 echo "urgent without right: $(post a calm /v1/completions "$(prompt x 1 true)" -H 'Camphorquay-Priority: urgent') $(code)"
--- a/regress/test-units.c
+++ b/regress/test-units.c
@@ -1,6 +1,7 @@
 /*
- * Unit tests of the deciding library: differential tests against naive
- * versions over seeded random sequences, and properties over all inputs.
+ * Unit tests of the decision library: differential tests against naive
+ * implementations over seeded random sequences, and properties over all
+ * inputs.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -15,15 +16,15 @@
 
 #define ROUNDS 20000
 
-/* --- waits for an answer's bytes -------------------------------------- */
+/* --- stalled transfers ------------------------------------------------ */
 
 #define FIRST_US 900000
 #define MORE_US 500000
 
 /*
- * An answer of megabytes over a small link: its bytes come slowly, and for
- * many times the limit on the first one, but they come.  Cut there, each try
- * would be cut at the same point, and the answer never be had.
+ * An answer of megabytes over a slow link takes many times the limit for the
+ * first byte, but makes progress.  If it were cut, each retry would be cut at
+ * the same point, and the answer would never arrive.
  */
 static void
 test_stall_slow_progress (void)
@@ -42,8 +43,8 @@
     }
 }
 
-/* A sender that is silent from the beginning has the longer time, and one
-   that falls silent midway the shorter one; neither has more. */
+/* The longer limit applies until the first byte, the shorter one after each
+   byte; neither is exceeded. */
 static void
 test_stall_silence (void)
 {
@@ -58,7 +59,7 @@
   g_assert_cmpint (stall_state (&s, 5000 + MORE_US), ==, STALL_MIDWAY);
 }
 
-/* Transfers without such limits wait for as long as they like. */
+/* A transfer without limits never stalls. */
 static void
 test_stall_no_limit (void)
 {
@@ -72,9 +73,9 @@
 /* --- outcome --------------------------------------------------------- */
 
 /*
- * The caller is told "not-run" and sends the call again.  If any byte of any
- * attempt had reached an endpoint, a truck would go out twice.  So over all
- * combinations of facts "not-run" must imply that nothing can have run.
+ * A caller that gets "not-run" repeats the call.  If any byte of any attempt
+ * had reached an endpoint, the call could run twice.  So for all combinations
+ * of facts, "not-run" must imply that nothing can have run.
  */
 static void
 test_not_run_is_true (void)
@@ -105,7 +106,7 @@
   g_assert_cmpint (not_run, >, 0);
 }
 
-/* A call that may not repeat and may have run is never sent again. */
+/* A non-idempotent call that may have run is never retried. */
 static void
 test_no_second_run (void)
 {
@@ -128,9 +129,9 @@
       }
 }
 
-/* A stream of which the caller has a part never starts over. */
+/* A stream is never restarted after the caller has received a part of it. */
 static void
-test_no_doubled_stream (void)
+test_no_stream_restart (void)
 {
   struct out_facts f = { .idempotent = true, .attempts_left = true };
   int sent;
@@ -147,7 +148,7 @@
 
 /* --- routing --------------------------------------------------------- */
 
-/* All requests sent in a test, for the naive versions. */
+/* All requests sent in a test, for the naive implementations. */
 struct sent
 {
   int endpoint;
@@ -155,19 +156,19 @@
   int64_t tokens;
 };
 
-static GArray *all_sent;
+static GArray *sends;
 
 static void
-send_and_note (struct route_table *t, int endpoint, int64_t tokens,
-               int64_t now)
+send_and_record (struct route_table *t, int endpoint, int64_t tokens,
+                 int64_t now)
 {
   struct sent s = { endpoint, now, tokens };
 
   route_sent (t, endpoint, tokens, now);
-  g_array_append_val (all_sent, s);
+  g_array_append_val (sends, s);
 }
 
-/* Naive queue: microsecond by microsecond bookkeeping in tokens. */
+/* Naive queue: computed in tokens, over all sends. */
 static int64_t
 naive_queue (const struct route_endpoint *e, int i, int64_t now)
 {
@@ -176,9 +177,9 @@
   int64_t at = e->report.at_us;
   guint n;
 
-  for (n = 0; n < all_sent->len; n++)
+  for (n = 0; n < sends->len; n++)
     {
-      const struct sent *s = &g_array_index (all_sent, struct sent, n);
+      const struct sent *s = &g_array_index (sends, struct sent, n);
 
       if (s->endpoint != i || s->at_us < e->report.at_us)
         continue;
@@ -190,7 +191,7 @@
   return (int64_t)(queue / rate);
 }
 
-/* The naive choice: least cost over a plain scan, written independently. */
+/* Naive choice: least cost in a linear scan, implemented independently. */
 static int64_t
 naive_best (struct route_table *t, const struct route_query *q, int64_t now)
 {
@@ -251,7 +252,8 @@
   return t;
 }
 
-/* Twenty reports of 15 requests each, so that no send is forgotten. */
+/* New random endpoints after 15 requests, so that no recorded send is
+   overwritten. */
 static void
 test_route_near_naive (void)
 {
@@ -263,7 +265,7 @@
   int64_t best, now;
   int round, chosen = 0;
 
-  all_sent = g_array_new (FALSE, FALSE, sizeof (struct sent));
+  sends = g_array_new (FALSE, FALSE, sizeof (struct sent));
   q.weights.first = 100;
   q.hits = hits;
   t = random_routes (r, 40);
@@ -274,7 +276,7 @@
         {
           route_free (t);
           t = random_routes (r, 40);
-          g_array_set_size (all_sent, 0);
+          g_array_set_size (sends, 0);
         }
       q.service = g_rand_int_range (r, 0, 2);
       q.prompt_tokens = g_rand_int_range (r, 0, 4000);
@@ -287,20 +289,20 @@
       g_assert_cmpint (c.code == ROUTE_CHOSEN, ==, best >= 0);
       if (c.code != ROUTE_CHOSEN)
         continue;
-      /* Each rounding step of either may lose a microsecond. */
+      /* Each rounding step of either side may lose a microsecond. */
       g_assert_cmpint (c.score, >=, best - 40);
       g_assert_cmpint (c.score, <=, MAX (best + best / 10, best + 500) + 40);
-      send_and_note (t, c.endpoint, q.prompt_tokens - c.cached_tokens, now);
+      send_and_record (t, c.endpoint, q.prompt_tokens - c.cached_tokens, now);
       chosen++;
     }
   g_assert_cmpint (chosen, >, ROUNDS / 2);
-  g_array_free (all_sent, TRUE);
+  g_array_free (sends, TRUE);
   route_free (t);
   g_rand_free (r);
 }
 
-/* Among 655 endpoints a sample is compared: it finds a holder of the prompt
-   for sure, and else one of the least loaded tenth nearly always. */
+/* Among 655 endpoints a sample is compared: it always contains a holder of the
+   prompt, and otherwise nearly always one of the least loaded tenth. */
 static void
 test_route_sample (void)
 {
@@ -333,12 +335,13 @@
 }
 
 /*
- * Four VMs hold the same stale report and each place 25 requests.  If each
- * took the very best endpoint, all 100 would go to one; spread over the
- * near-best, no endpoint of ten alike gets more than three times its share.
+ * Four VMs have the same stale report and send 25 requests each.  If each VM
+ * chose the best endpoint, all 100 requests could go to the same one.  With a
+ * random choice among the best, none of ten equal endpoints gets more than
+ * three times its share.
  */
 static void
-test_no_herd (void)
+test_no_herding (void)
 {
   int sent[10] = { 0 };
   struct route_query q
@@ -373,7 +376,7 @@
 /* --- prefixes -------------------------------------------------------- */
 
 static void
-test_scopes_never_meet (void)
+test_scopes_unrelated (void)
 {
   struct pfx_scope a, b, c, d;
   uint64_t x[4], y[4];
@@ -391,13 +394,13 @@
   g_assert_true (x[0] != y[0] && x[3] != y[3]);
   pfx_chain (&d, text, sizeof text, y, 4);
   g_assert_true (x[0] != y[0]);
-  /* A change in the first block changes every digest behind it. */
+  /* A change in the first block changes all later digests. */
   text[0] = 'q';
   pfx_chain (&a, text, sizeof text, y, 4);
   g_assert_true (x[0] != y[0] && x[3] != y[3]);
 }
 
-/* Naive index: for each digest the last endpoint that learned it. */
+/* Naive index: the last endpoint recorded for each chain. */
 static void
 test_prefix_naive (void)
 {
@@ -432,7 +435,7 @@
           for (i = 0; i < 50; i++)
             if (last[i] == 3)
               {
-                /* The holder before it is the last one now. */
+                /* The previous holder is now the most recent one. */
                 n = pfx_lookup (p, chains[i], 8, hits, 8);
                 last[i] = n > 0 ? hits[0].endpoint : -1;
                 g_assert_cmpint (last[i], !=, 3);
@@ -459,7 +462,7 @@
   pfx_free (p);
 }
 
-/* Naive directory: a plain list of copies, scanned for everything. */
+/* Naive directory: a list of copies that is scanned linearly. */
 struct naive_copy
 {
   uint64_t digest;
@@ -552,8 +555,8 @@
   g_rand_free (r);
 }
 
-/* No way to a first token that the plan could have taken is cheaper: compare
-   with every number of imported segments. */
+/* The plan is the cheapest one: compared with the import of every number of
+   segments. */
 static void
 test_plan_naive (void)
 {
@@ -591,7 +594,7 @@
                 + (in.prompt_tokens - to) * CQ_US_PER_S / in.prefill_tokens_s;
           best = MIN (best, first);
         }
-      /* An import must save a tenth; divisions lose some microseconds. */
+      /* An import must save a tenth; divisions lose a few microseconds. */
       g_assert_cmpint (p.first_us, >=, best - 4);
       g_assert_cmpint (p.first_us, <=, best * 100 / 90 + 4);
     }
@@ -618,8 +621,9 @@
 }
 
 /*
- * A VM leaves; an older list and a later beat still call it alive, and its
- * address comes back under a new life.  Only the new life serves again.
+ * A VM leaves.  An older list and a later heartbeat still report it as alive,
+ * and then a new incarnation appears at its address.  Only the new incarnation
+ * becomes alive.
  */
 static void
 test_member_leaving (void)
@@ -629,7 +633,7 @@
   struct memb_word w = word ("a", "d", 7, 5, MEMB_ALIVE);
 
   g_assert_true (memb_hear (t, &w, 0));
-  /* The platform's list knows no beats. */
+  /* The platform's list has no heartbeats. */
   w = word ("a", "d", 7, 0, MEMB_LEAVING);
   g_assert_true (memb_hear (t, &w, 1));
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_LEAVING);
@@ -646,8 +650,8 @@
   memb_free (t);
 }
 
-/* Three unanswered questions make a suspect, two seconds more a dead one; its
-   own later beat brings it back. */
+/* A VM is suspected after three missed pings and dead two seconds later; its
+   own later heartbeat makes it alive again. */
 static void
 test_member_suspect (void)
 {
@@ -669,7 +673,7 @@
   w = word ("a", "d", 7, 2, MEMB_ALIVE);
   g_assert_true (memb_hear (t, &w, 4 * CQ_US_PER_S));
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_ALIVE);
-  /* Said of ourselves: refuted by a later beat. */
+  /* A VM refutes its own death with a later heartbeat. */
   w = word ("self", "d", 1, 1, MEMB_DEAD);
   g_assert_true (memb_hear (t, &w, 5 * CQ_US_PER_S));
   g_assert_cmpint (memb_self (t)->beat, ==, 2);
@@ -677,9 +681,9 @@
 }
 
 /*
- * A VM answers its first question before it knows its own address.  Unless the
- * word with the address is news, the asker keeps the empty one, asks nobody,
- * and gives the VM up.
+ * A VM answers its first ping before it knows its own address.  If the update
+ * with the address were not taken as new, the other VM would keep the empty
+ * address, could not ping it, and would declare it dead.
  */
 static void
 test_member_address (void)
@@ -698,8 +702,8 @@
 }
 
 /*
- * All news of earlier VMs has been passed on; then another one joins that
- * hears only one of them.  It must still get to know all.
+ * A VM that joins after all gossip about earlier VMs has been sent, and that
+ * gets gossip from only one of them, must still learn of all.
  */
 static void
 test_member_newcomer (void)
@@ -733,8 +737,8 @@
   memb_free (b);
 }
 
-/* Whom a VM watches does not grow with the number of VMs; a job has exactly
-   as many hands in a domain as it wants. */
+/* The number of VMs that a VM pings does not grow with the number of VMs, and
+   a task is assigned to exactly the requested number of VMs in a domain. */
 static void
 test_member_neighbours (void)
 {
@@ -748,7 +752,7 @@
   struct memb_word w;
   char name[16];
   char domain[16];
-  int i, k, hands = 0;
+  int i, k, assigned = 0;
 
   for (i = 0; i < VMS; i++)
     {
@@ -765,9 +769,9 @@
         }
       g_assert_cmpint (memb_neighbours (tables[i], out, 32), ==,
                        3 + DOMAINS - 1);
-      hands += memb_mine (tables[i], "config/head", 2);
+      assigned += memb_mine (tables[i], "config/head", 2);
     }
-  g_assert_cmpint (hands, ==, 2);
+  g_assert_cmpint (assigned, ==, 2);
   for (i = 0; i < VMS; i++)
     memb_free (tables[i]);
 }
@@ -777,11 +781,11 @@
 static const struct unit units[] = {
   { "/outcome/not-run-is-true", test_not_run_is_true },
   { "/outcome/no-second-run", test_no_second_run },
-  { "/outcome/no-doubled-stream", test_no_doubled_stream },
+  { "/outcome/no-doubled-stream", test_no_stream_restart },
   { "/route/near-naive", test_route_near_naive },
   { "/route/sample", test_route_sample },
-  { "/route/no-herd", test_no_herd },
-  { "/prefix/scopes-never-meet", test_scopes_never_meet },
+  { "/route/no-herd", test_no_herding },
+  { "/prefix/scopes-never-meet", test_scopes_unrelated },
   { "/prefix/naive", test_prefix_naive },
   { "/prefix/bounded", test_prefix_bounded },
   { "/kept/dir-naive", test_dir_naive },
@@ -796,7 +800,7 @@
   { "/member/neighbours", test_member_neighbours },
 };
 
-/* Of the other files; each ends with an entry without a path. */
+/* Units of the other files; each table ends with an entry without a path. */
 static const struct unit *const tables[]
     = { wire_units,     fleet_units, relay_units,  orders_units, follow_units,
         parts_units,    xfer_units,  share_units,  header_units, fresh_units,
