--- a/decide.h
+++ b/decide.h
@@ -26,8 +26,7 @@
 
 /* --- outcome: the result of a request --------------------------------- */
 
-/* Outcome reported to the caller.  Its four names are part of the interface.
- */
+/* Outcome of a request; the names of the four are part of the interface. */
 enum outcome
 {
   OUT_ANSWERED, /* the endpoint's complete answer */
@@ -104,10 +103,9 @@
 /* Recent demand of all workspaces on a service. */
 struct share
 {
-  struct share_workspace
-      entries[SHARE_MAX_WORKSPACES]; /* tracked workspaces */
-  int n;                             /* entries in use */
-  int64_t decayed_us;                /* time of the last decay */
+  struct share_workspace entries[SHARE_MAX_WORKSPACES]; /* unordered */
+  int n;                                                /* entries in use */
+  int64_t decayed_us; /* time of the last decay */
 };
 
 /* Adds WORK to the demand of WORKSPACE; the unit is the same for all. */
@@ -162,8 +160,8 @@
 /* Adds WORK to the demand of RANK; the unit is the same for all. */
 void admit_add_demand (struct admit *a, int rank, int64_t work,
                        int64_t now_us);
-/* Permille of the requests of RANK to admit if PERMILLE of all work can
-   be served. */
+/* Permille of the requests of RANK to admit if PERMILLE of all work can be
+   served. */
 int admit_rank_permille (const struct admit *a, int rank, int permille);
 
 /* --- budget: retries as a share of requests -------------------------- */
@@ -215,8 +213,7 @@
 struct lim_verdict
 {
   enum lim_code code;     /* LIM_OK or why not */
-  int64_t retry_after_us; /* delay after which a retry may succeed, 0 for no
-                             hint */
+  int64_t retry_after_us; /* when a retry may succeed, 0 if never */
 };
 
 void lim_init (struct lim_workspace *w, const struct lim_opts *opts,
@@ -252,12 +249,11 @@
 {
   APR_RING_ENTRY (fq_flow) link;          /* among the active flows */
   APR_RING_HEAD (fq_list, fq_entry) list; /* waiting requests, oldest first */
-  struct lim_workspace
-      *workspace;      /* workspace whose concurrency limit applies */
-  enum fq_class class; /* urgent or normal */
-  int64_t deficit;     /* cost it may still spend in this round */
-  int queued;          /* entries in the list */
-  int running;         /* slots it holds */
+  struct lim_workspace *workspace;        /* its concurrency limit applies */
+  enum fq_class class;                    /* urgent or normal */
+  int64_t deficit; /* cost it may still spend in this round */
+  int queued;      /* entries in the list */
+  int running;     /* slots it holds */
 };
 
 APR_RING_HEAD (fq_ring, fq_flow);
@@ -265,14 +261,13 @@
 /* The queue of a service. */
 struct fq
 {
-  struct fq_ring
-      active[FQ_CLASSES]; /* flows with entries, in round-robin order */
-  int flows[FQ_CLASSES];  /* number of active flows by class */
-  int queued[FQ_CLASSES]; /* number of entries by class */
-  int queue_max;          /* limit on the entries of all classes */
-  int urgent_reserve;     /* slots reserved for urgent requests */
-  int64_t quantum;        /* cost granted to a flow in each round */
-  int64_t hold_us;        /* smoothed time for which a slot is held */
+  struct fq_ring active[FQ_CLASSES]; /* flows with entries, round robin */
+  int flows[FQ_CLASSES];             /* number of active flows by class */
+  int queued[FQ_CLASSES];            /* number of entries by class */
+  int queue_max;                     /* limit on the entries of all classes */
+  int urgent_reserve;                /* slots reserved for urgent requests */
+  int64_t quantum;                   /* cost granted to a flow in each round */
+  int64_t hold_us; /* smoothed time for which a slot is held */
 };
 
 enum fq_code
@@ -310,8 +305,7 @@
 /* Scope of a prefix: digests of different scopes are unrelated. */
 struct pfx_scope
 {
-  uint8_t
-      key[PFX_KEY_BYTES]; /* hash of workspace, service, version and adapter */
+  uint8_t key[PFX_KEY_BYTES]; /* workspace, service, version, adapter */
 };
 
 void pfx_scope_init (struct pfx_scope *scope, const char *workspace,
@@ -358,26 +352,24 @@
 /* Properties of an endpoint that the settings declare. */
 struct route_opts
 {
-  const char *name; /* endpoint name; must outlive the table */
-  int service;      /* index of its service */
-  bool local;       /* in this VM's failure domain */
-  int64_t rtt_us;   /* network round-trip time */
-  int slots;        /* requests it runs at once */
-  int64_t
-      prefill_tokens_s; /* prompt tokens per second, 0 for plain services */
-  int64_t decode_us;    /* time for each generated token */
+  const char *name;         /* endpoint name; must outlive the table */
+  int service;              /* index of its service */
+  bool local;               /* in this VM's failure domain */
+  int64_t rtt_us;           /* network round-trip time */
+  int slots;                /* requests it runs at once */
+  int64_t prefill_tokens_s; /* prompt tokens/s, 0 for plain services */
+  int64_t decode_us;        /* time for each generated token */
 };
 
 /* Last load report of an endpoint, received with a delay. */
 struct route_report
 {
-  int64_t
-      at_us; /* time at which the report was true, from its age; 0 for none */
+  int64_t at_us;         /* when it was true, from its age; 0 for no report */
   int running;           /* requests that it ran */
   int64_t queued_tokens; /* queued prompt tokens */
   char version[40];      /* weight version that it serves */
-  char incarnation[40]; /* identifies one run of the endpoint at its address */
-  bool leaving;         /* it reported that it is leaving */
+  char incarnation[40];  /* one run of the endpoint */
+  bool leaving;          /* it reported that it is leaving */
 };
 
 /* Result of a call to an endpoint, for its health state. */
@@ -434,12 +426,11 @@
   const struct pfx_hit *hits; /* endpoints that probably cache a prefix */
   int nhits;                  /* entries in hits */
   int block_tokens;           /* tokens in one prefix block */
-  const struct plan_source
-      *sources;                /* stores that hold leading segments of it */
-  int nsources;                /* entries in sources */
-  struct plan_weights weights; /* weights declared by the service */
-  const int *exclude;          /* endpoints that must not be chosen again */
-  int nexclude;                /* entries in exclude */
+  const struct plan_source *sources; /* stores that hold a part of it */
+  int nsources;                      /* entries in sources */
+  struct plan_weights weights;       /* weights declared by the service */
+  const int *exclude; /* endpoints that must not be chosen again */
+  int nexclude;       /* entries in exclude */
 };
 
 /* Why no endpoint was chosen, or ROUTE_CHOSEN. */
@@ -467,7 +458,7 @@
   int64_t import_us;     /* wait for the link, and transfer */
   int64_t score;         /* weighted sum; the least is best */
   int candidates;        /* eligible endpoints that were compared */
-  int near_best; /* of these, endpoints with a score close to the best */
+  int near_best;         /* of these, close to the best score */
 };
 
 struct route_table *route_new (uint64_t seed);
