--- a/lim.c
+++ b/lim.c
@@ -19,8 +19,8 @@
 
   if (span <= 0)
     return;
-  /* After a long idle time the bucket is full; the product below cannot
-     overflow. */
+  /* After a long idle time the bucket is full; returning here keeps the
+     product below small. */
   if (span / CQ_US_PER_S >= w->opts.token_burst / rate + 1)
     {
       w->tokens = w->opts.token_burst;
--- a/route.c
+++ b/route.c
@@ -18,10 +18,10 @@
 #define EJECT_MAX_DOUBLINGS 6           /* longest backoff: 32 s */
 #define EJECT_BROKEN_CONNS 3            /* consecutive broken connections */
 #define NEAR_PERCENT 10                 /* close to the best: within this */
-#define SCAN_MAX_ENDPOINTS 64 /* of larger services a sample is compared */
-#define SCRATCH_EXTRA 128     /* a sample may contain an endpoint twice */
-#define SAMPLE_SIZE 48        /* random endpoints, besides probable holders */
-#define NEAR_MIN_US 500       /* or within this time */
+#define SCAN_MAX_ENDPOINTS 64           /* larger services are sampled */
+#define SCRATCH_EXTRA 128 /* a sample may contain an endpoint twice */
+#define SAMPLE_SIZE 48    /* random endpoints, besides probable holders */
+#define NEAR_MIN_US 500   /* or within this time */
 
 /* Endpoints of one service. */
 struct members
@@ -230,7 +230,7 @@
       at = s->at_us;
     }
   us = queue_after (us, now_us - at);
-  /* Add about one decode step for each running request, over the slots. */
+  /* Plus a decode step, in proportion to the slots in use. */
   return us + load_of (e) * o->decode_us / (o->slots > 0 ? o->slots : 1);
 }
 
