--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 	history.o poll.o storec.o kept.o export.o adopt.o conf.o confpost.o member.o \
 	peerrpc.o peerbody.o peerseal.o peer_xdr.o adm.o entry.o state.o listen.o srv.o
 # Requests that are passed on: beliefs of the fleet, and each request's life.
-RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o tell.o tellword.o evt.o relay.o relaytry.o \
+RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o loadgossip.o loadgossipwire.o sse.o relay.o relaytry.o \
 	relayadmit.o relaywork.o relayquar.o relaycrash.o reqid.o quar.o \
 	quarwire.o quarfeed.o follow.o \
 	lease.o naming.o orders.o parts.o partfeed.o evac.o
@@ -119,7 +119,7 @@
 FUZZED = prompt.c strm.c peer_xdr.c platform/answered.c platform/asked.c \
 	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/pieces.c \
 	platform/rows.c platform/roster.c \
-	platform/quarrows.c quar.c quarwire.c tellword.c fleet.c pace.c limit.c cold.c evt.c lease.c fetch.c xfer.c stall.c loop.c
+	platform/quarrows.c quar.c quarwire.c loadgossipwire.c fleet.c pace.c limit.c cold.c sse.c lease.c fetch.c xfer.c stall.c loop.c
 regress/fuzz-input: regress/fuzz-input.c $(FUZZED) wire.h
 	clang -std=gnu11 -D_GNU_SOURCE -g -O1 $(LIB_CFLAGS) -I. \
 		-fsanitize=fuzzer,address,undefined -o $@ \
--- a/entry.h
+++ b/entry.h
@@ -11,7 +11,7 @@
 #include "partfeed.h"
 #include "quarfeed.h"
 #include "relay.h"
-#include "tell.h"
+#include "loadgossip.h"
 
 /* What a door for callers works with; stays until the door is closed. */
 struct entry_front
--- a/librelay.h
+++ b/librelay.h
@@ -5,7 +5,7 @@
 #ifndef CQ_LIBRELAY_H
 #define CQ_LIBRELAY_H
 
-#include "evt.h"
+#include "sse.h"
 #include "relay.h"
 #include "relaycrash.h"
 
--- a/tell.c
+++ b/loadgossip.c
@@ -1,5 +1,5 @@
 /* Telling other VMs what this one has under way at endpoints. */
-#include "tell.h"
+#include "loadgossip.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tell.h
+++ b/loadgossip.h
@@ -2,8 +2,8 @@
  * Telling other VMs what this one has under way at endpoints, and hearing
  * them: datagrams, with a list of VMs that stands on the platform.
  */
-#ifndef CQ_TELL_H
-#define CQ_TELL_H
+#ifndef CQ_LOADGOSSIP_H
+#define CQ_LOADGOSSIP_H
 
 #include "fleet.h"
 #include "load.h"
--- a/tellword.c
+++ b/loadgossipwire.c
@@ -1,5 +1,5 @@
 /* A VM's word about its work, as datagrams carry it. */
-#include "tell.h"
+#include "loadgossip.h"
 
 #include "peer.h"
 
--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <string.h>
 
-#include "evt.h"
+#include "sse.h"
 #include "peer.h"
 #include "platform/platform.h"
 #include "wire.h"
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -4,7 +4,7 @@
 
 #include "cold.h"
 #include "relayplay.h"
-#include "tell.h"
+#include "loadgossip.h"
 #include "units.h"
 
 #define RATES 40   /* requests a second, up to */
--- a/regress/test-fleet.c
+++ b/regress/test-fleet.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "decide.h"
-#include "evt.h"
+#include "sse.h"
 #include "fleet.h"
 #include "units.h"
 
--- a/regress/test-limit.c
+++ b/regress/test-limit.c
@@ -4,7 +4,7 @@
 
 #include "limit.h"
 #include "relayplay.h"
-#include "tell.h"
+#include "loadgossip.h"
 #include "units.h"
 
 #define VMS_MAX 320
--- a/regress/test-load.c
+++ b/regress/test-load.c
@@ -8,7 +8,7 @@
 
 #include "decide.h"
 #include "load.h"
-#include "tell.h"
+#include "loadgossip.h"
 #include "units.h"
 
 #define S CQ_US_PER_S
--- a/evt.c
+++ b/sse.c
@@ -1,5 +1,5 @@
 /* Events of a stream that is passed on. */
-#include "evt.h"
+#include "sse.h"
 
 #include <string.h>
 
--- a/evt.h
+++ b/sse.h
@@ -1,6 +1,6 @@
 /* Events of a stream that is passed on: whole ones only, each once. */
-#ifndef CQ_EVT_H
-#define CQ_EVT_H
+#ifndef CQ_SSE_H
+#define CQ_SSE_H
 
 #include <glib.h>
 #include <stdbool.h>
