--- a/bench/rows.c
+++ b/bench/rows.c
@@ -66,9 +66,9 @@
 
   for (i = 0; i < ROUNDS; i++)
     {
-      struct news n = { 0 };
+      struct follow_reply n = { 0 };
 
-      n.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+      n.items = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
       if (!pdecode_rows (text, len, &n))
         abort ();
       pdecode_clear (&n);
--- a/entry.c
+++ b/entry.c
@@ -149,7 +149,7 @@
     {
       quarfeed_older_copy (e->quarfeed, now_us);
       if (e->tell != NULL)
-        tell_older_copy (e->tell, now_us);
+        loadgossip_store_restored (e->tell, now_us);
     }
   e->era = follow_era (e->follow);
   if (e->fleet.conf != NULL && e->fleet.conf_row != e->conf_row)
@@ -177,9 +177,9 @@
 {
   struct follow_opts o = { .loop = e->worker->loop, .fleet = &e->fleet };
 
-  o.changed = on_changed;
+  o.on_change = on_changed;
   o.arg = e;
-  o.current_us = deny_us (e->cfg);
+  o.max_age_us = deny_us (e->cfg);
   entry_adapter.follow_ops (e->store, &o.ops);
   o.seed = seed_of (cfg_vm (server_cfg (e->worker->server)));
   e->follow = follow_new (&o);
@@ -191,7 +191,7 @@
 {
   const struct entry *e = arg;
 
-  return e->tell == NULL || tell_is_among (e->tell, key, places);
+  return e->tell == NULL || loadgossip_ranks_within (e->tell, key, places);
 }
 
 static void
@@ -201,7 +201,7 @@
 
   parts_init (&e->parts);
   entry_adapter.partfeed_ops (&o.ops, e->worker->pool);
-  o.is_among = is_among;
+  o.ranks_within = is_among;
   o.arg = e;
   o.seed = seed_of (cfg_vm (e->settings));
   e->feed = partfeed_new (&o);
@@ -213,7 +213,7 @@
   struct entry *e = arg;
 
   if (e->tell != NULL)
-    tell_changed (e->tell, now_us);
+    loadgossip_load_changed (e->tell, now_us);
 }
 
 /* --- quarantine ------------------------------------------------------ */
@@ -248,7 +248,7 @@
   struct entry *e = arg;
 
   if (e->tell != NULL)
-    tell_send (e->tell, datagram);
+    loadgossip_send (e->tell, datagram);
 }
 
 static bool
@@ -267,7 +267,7 @@
   int64_t turn = platform_ms (arg, now_us) / SUSPECT_TURN_MS;
 
   return e->tell == NULL
-         || tell_is_first (
+         || loadgossip_ranks_first (
              e->tell, XXH3_64bits_withSeed (id, sizeof *id, (uint64_t)turn));
 }
 
@@ -290,7 +290,7 @@
 {
   const struct entry *e = arg;
 
-  return e->tell != NULL ? tell_cold_part (e->tell, endpoint, rate) : 0;
+  return e->tell != NULL ? loadgossip_cold_share (e->tell, endpoint, rate) : 0;
 }
 
 static int64_t
@@ -300,7 +300,8 @@
 
   if (e->tell == NULL)
     return LIMIT_LOOK_US;
-  return tell_limit_gap (e->tell, endpoint, milli, platform_ms (arg, now_us));
+  return loadgossip_limit_interval (e->tell, endpoint, milli,
+                                    platform_ms (arg, now_us));
 }
 
 static void
@@ -336,20 +337,21 @@
 make_tell (struct entry *e)
 {
   const struct cfg_vm *vm = cfg_vm (e->settings);
-  struct tell_opts o = { .loop = e->worker->loop, .gather = relays_gather };
+  struct loadgossip_opts o
+      = { .loop = e->worker->loop, .collect_load = relays_gather };
 
   if (e->cfg->tell[0] == '\0')
     return true;
   entry_adapter.roster_ops (e->store, &o.ops);
   o.ctx = e->relays;
-  o.book = e->book;
-  o.other = receive_evidence;
-  o.other_ctx = e;
+  o.load_table = e->book;
+  o.on_other_datagram = receive_evidence;
+  o.on_other_ctx = e;
   o.vm = vm->name;
   o.domain = vm->domain;
   o.listen = e->cfg->tell;
   o.seed = seed_of (vm);
-  e->tell = tell_new (&o);
+  e->tell = loadgossip_new (&o);
   if (e->tell == NULL)
     log_event (LOG_LEVEL_ERROR, "tell_listen", "address=%s outcome=failed",
                e->cfg->tell);
@@ -433,7 +435,7 @@
   partfeed_stop (e->feed);
   quarfeed_stop (e->quarfeed);
   if (e->tell != NULL)
-    tell_stop (e->tell);
+    loadgossip_stop (e->tell);
   loop_disarm (&e->sweep);
 }
 
@@ -451,7 +453,7 @@
     return 0;
   return follow_waiting (e->follow) + orders_waiting (e->orders)
          + partfeed_waiting (e->feed) + quarfeed_waiting (e->quarfeed)
-         + (e->tell != NULL ? tell_waiting (e->tell) : 0);
+         + (e->tell != NULL ? loadgossip_waiting (e->tell) : 0);
 }
 
 void
@@ -465,7 +467,7 @@
   partfeed_free (e->feed);
   relays_free (e->relays);
   if (e->tell != NULL)
-    tell_free (e->tell);
+    loadgossip_free (e->tell);
   quar_free (e->quar);
   load_free (e->book);
   parts_clear (&e->parts);
--- a/evac.c
+++ b/evac.c
@@ -87,7 +87,7 @@
 /* A store that came back from an older copy lacks the row until the operator
    has written it again. */
 void
-evac_missing (struct fleet *f, const char *domain, int64_t now_us)
+evac_not_listed (struct fleet *f, const char *domain, int64_t now_us)
 {
   struct fleet_evacuation *v;
   int i = find (f, domain);
--- a/follow.c
+++ b/follow.c
@@ -67,9 +67,9 @@
 
 /* As the log names what became of a call. */
 static const char *const lost_names[] = {
-  [NEWS_REFUSED] = "refused",     [NEWS_SILENT] = "silent",
-  [NEWS_STALLED] = "stalled",     [NEWS_BROKEN] = "broken",
-  [NEWS_TOO_LARGE] = "too_large", [NEWS_UNREADABLE] = "unreadable",
+  [FOLLOW_REFUSED] = "refused",     [FOLLOW_NO_REPLY] = "silent",
+  [FOLLOW_STALLED] = "stalled",     [FOLLOW_INCOMPLETE] = "broken",
+  [FOLLOW_TOO_LARGE] = "too_large", [FOLLOW_MALFORMED] = "unreadable",
 };
 
 /* Between the starts of two polls. */
@@ -81,18 +81,18 @@
 /* One source that is followed. */
 struct stream
 {
-  struct follow *follow;     /* whose */
-  enum follow_source source; /* which */
-  bool known;                /* read once, and history goes on from there */
-  int64_t version;           /* to ask for changes after */
-  int64_t era;               /* that version is of */
-  int64_t asked_us;          /* when the call under way was sent */
-  bool reading;              /* that call reads all */
-  int64_t lost_us;           /* calls fail since then; 0 if they do not */
-  enum news_code lost_code;  /* how the last one failed, as logged */
-  int64_t pause_us;          /* after the next failure */
-  struct loop_timer timer;   /* ends a pause */
-  bool busy;                 /* a call is under way */
+  struct follow *follow;        /* whose */
+  enum follow_source source;    /* which */
+  bool known;                   /* read once, and history goes on from there */
+  int64_t version;              /* to ask for changes after */
+  int64_t era;                  /* that version is of */
+  int64_t asked_us;             /* when the call under way was sent */
+  bool reading;                 /* that call reads all */
+  int64_t lost_us;              /* calls fail since then; 0 if they do not */
+  enum follow_status lost_code; /* how the last one failed, as logged */
+  int64_t pause_us;             /* after the next failure */
+  struct loop_timer timer;      /* ends a pause */
+  bool busy;                    /* a call is under way */
 };
 
 #define MARKS 16 /* some ten seconds of answers from both sources */
@@ -122,8 +122,8 @@
 /* --- taking news ----------------------------------------------------- */
 
 static void
-take_conf (struct fleet *f, const struct news *n, struct news_item *it,
-           int64_t took_us)
+take_conf (struct fleet *f, const struct follow_reply *n,
+           struct follow_item *it, int64_t took_us)
 {
   int64_t old = f->conf != NULL ? f->conf->version : 0;
   int64_t new = it->conf->version;
@@ -168,7 +168,7 @@
 }
 
 static void
-take_wanted (struct follow *fl, const struct news_item *it, int64_t now_us)
+take_wanted (struct follow *fl, const struct follow_item *it, int64_t now_us)
 {
   struct fleet *f = fl->opts.fleet;
   int64_t early = not_before (fl, it->row);
@@ -184,7 +184,7 @@
 /* A life that is over may still write: its entry, held up on the way, stands
    in the place of the next one's until that writes again. */
 static void
-log_other_life (const struct fleet_endpoint *e, const struct news_item *it,
+log_other_life (const struct fleet_endpoint *e, const struct follow_item *it,
                 enum fleet_life life)
 {
   log_event (LOG_LEVEL_INFO, "endpoint",
@@ -196,7 +196,7 @@
 }
 
 static void
-take_endpoint (struct fleet *f, const struct news_item *it, int64_t now_us)
+take_endpoint (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *old = g_hash_table_lookup (f->by_id, it->listing.id);
   enum fleet_life life = fleet_life_of (old, it->listing.born_ms);
@@ -250,7 +250,7 @@
  * writes again within a heartbeat.  All other rows count.
  */
 static void
-take_spoiled (struct fleet *f, const struct news_item *it, int64_t now_us)
+take_spoiled (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (f->by_id, it->listing.id);
 
@@ -259,66 +259,67 @@
 }
 
 static void
-take_item (struct stream *s, const struct news *n, struct news_item *it,
-           int64_t now_us)
+take_item (struct stream *s, const struct follow_reply *n,
+           struct follow_item *it, int64_t now_us)
 {
   struct fleet *f = s->follow->opts.fleet;
   struct fleet_endpoint *e;
 
   switch (it->kind)
     {
-    case NEWS_CONF:
+    case FOLLOW_ITEM_CONF:
       take_conf (f, n, it, now_us - s->asked_us);
       it->conf = NULL;
       break;
-    case NEWS_WANTED:
+    case FOLLOW_ITEM_WEIGHTS:
       take_wanted (s->follow, it, now_us);
       break;
-    case NEWS_ENDPOINT:
+    case FOLLOW_ITEM_ENDPOINT:
       take_endpoint (f, it, now_us);
       break;
-    case NEWS_REMOVED:
+    case FOLLOW_ITEM_ENDPOINT_REMOVED:
       e = g_hash_table_lookup (f->by_id, it->listing.id);
       if (e != NULL)
         take_removed (f, e, "entry_gone", now_us);
       break;
-    case NEWS_EVACUATION:
+    case FOLLOW_ITEM_EVACUATION:
       evac_begin (f, it->domain, it->row);
       break;
-    case NEWS_READMISSION:
+    case FOLLOW_ITEM_EVACUATION_END:
       evac_end (f, it->domain, now_us);
       break;
-    case NEWS_SPOILED:
+    case FOLLOW_ITEM_INVALID:
       take_spoiled (f, it, now_us);
       break;
     }
 }
 
 static bool
-is_in_news (const struct news *n, const char *id)
+is_in_news (const struct follow_reply *n, const char *id)
 {
-  const struct news_item *it;
+  const struct follow_item *it;
   guint i;
 
   for (i = 0; i < n->items->len; i++)
     {
-      it = &g_array_index (n->items, struct news_item, i);
-      if (it->kind == NEWS_ENDPOINT && strcmp (it->listing.id, id) == 0)
+      it = &g_array_index (n->items, struct follow_item, i);
+      if (it->kind == FOLLOW_ITEM_ENDPOINT && strcmp (it->listing.id, id) == 0)
         return true;
     }
   return false;
 }
 
 static bool
-is_evacuated_in_news (const struct news *n, const char *domain)
+is_evacuated_in_news (const struct follow_reply *n, const char *domain)
 {
-  const struct news_item *it;
+  const struct follow_item *it;
   guint i;
 
   for (i = 0; i < n->items->len; i++)
     {
-      it = &g_array_index (n->items, struct news_item, i);
-      if (it->kind == NEWS_EVACUATION && strcmp (it->domain, domain) == 0)
+      it = &g_array_index (n->items, struct follow_item, i);
+      if (it->kind == FOLLOW_ITEM_EVACUATION
+          && strcmp (it->domain, domain) == 0)
         return true;
     }
   return false;
@@ -326,7 +327,7 @@
 
 /* Of the evacuations that a whole reading does not hold the end was missed. */
 static void
-take_readmitted (struct fleet *f, const struct news *n, int64_t now_us)
+take_readmitted (struct fleet *f, const struct follow_reply *n, int64_t now_us)
 {
   const struct fleet_evacuation *v;
   int i;
@@ -335,13 +336,13 @@
     {
       v = &g_array_index (f->evacuated, struct fleet_evacuation, i);
       if (!is_evacuated_in_news (n, v->domain))
-        evac_missing (f, v->domain, now_us);
+        evac_not_listed (f, v->domain, now_us);
     }
 }
 
 /* What a whole list does not hold was removed unseen. */
 static void
-take_absent (struct fleet *f, const struct news *n, int64_t now_us)
+take_absent (struct fleet *f, const struct follow_reply *n, int64_t now_us)
 {
   struct fleet_endpoint *e, *next;
 
@@ -363,7 +364,8 @@
  * is of a time after the answer came, however long it took to read.
  */
 static int64_t
-current_at (struct follow *f, const struct stream *s, const struct news *n)
+current_at (struct follow *f, const struct stream *s,
+            const struct follow_reply *n)
 {
   int64_t given_us = n->store_ms * CQ_US_PER_MS;
   /* The clock's milliseconds are cut off. */
@@ -373,7 +375,7 @@
     return s->asked_us;
   /* A clock that jumped makes readings before it worthless. */
   if (!f->clock_known || low > f->clock_low_us
-      || given_us + f->clock_low_us > n->came_us)
+      || given_us + f->clock_low_us > n->received_us)
     f->clock_low_us = low;
   f->clock_known = true;
   return given_us + f->clock_low_us;
@@ -382,16 +384,16 @@
 /* One line for all rows of an answer that were left out: rows that stay
    spoiled come again with each whole list, however many they are. */
 static void
-log_spoiled (const struct stream *s, const struct news *n)
+log_spoiled (const struct stream *s, const struct follow_reply *n)
 {
-  const struct news_item *it, *first = NULL;
+  const struct follow_item *it, *first = NULL;
   int count = 0;
   guint i;
 
   for (i = 0; i < n->items->len; i++)
     {
-      it = &g_array_index (n->items, struct news_item, i);
-      if (it->kind != NEWS_SPOILED)
+      it = &g_array_index (n->items, struct follow_item, i);
+      if (it->kind != FOLLOW_ITEM_INVALID)
         continue;
       count++;
       first = first != NULL ? first : it;
@@ -403,12 +405,12 @@
       LOG_LEVEL_WARNING, "rows_left_out",
       "source=%s rows=%d of=%u first=%s reason=%s row=%" G_GINT64_FORMAT,
       source_names[s->source], count, n->items->len,
-      first->listing.id[0] != '\0' ? first->listing.id : "-", first->flaw,
+      first->listing.id[0] != '\0' ? first->listing.id : "-", first->error,
       (gint64)first->row);
 }
 
 static void
-take_news (struct stream *s, const struct news *n, int64_t now_us)
+take_news (struct stream *s, const struct follow_reply *n, int64_t now_us)
 {
   int64_t at = current_at (s->follow, s, n);
   struct fleet *f = s->follow->opts.fleet;
@@ -416,7 +418,7 @@
 
   log_spoiled (s, n);
   for (i = 0; i < n->items->len; i++)
-    take_item (s, n, &g_array_index (n->items, struct news_item, i), now_us);
+    take_item (s, n, &g_array_index (n->items, struct follow_item, i), now_us);
   if (s->reading && s->source == FOLLOW_ENDPOINTS)
     {
       take_absent (f, n, now_us);
@@ -475,7 +477,7 @@
  * has but one.
  */
 static bool
-is_of_this_era (struct stream *s, const struct news *n, int64_t now_us)
+is_of_this_era (struct stream *s, const struct follow_reply *n, int64_t now_us)
 {
   struct follow *f = s->follow;
 
@@ -515,30 +517,30 @@
  * Entries of endpoints lapse in an outage: only their whole list tells.
  */
 static bool
-may_go_on (const struct stream *s, enum news_code code)
+may_go_on (const struct stream *s, enum follow_status code)
 {
   return s->source == FOLLOW_OPERATOR
-         && (code == NEWS_SILENT || code == NEWS_STALLED
-             || code == NEWS_REFUSED);
+         && (code == FOLLOW_NO_REPLY || code == FOLLOW_STALLED
+             || code == FOLLOW_REFUSED);
 }
 
 static void
-note_lost (struct stream *s, const struct news *n, int64_t now_us)
+note_lost (struct stream *s, const struct follow_reply *n, int64_t now_us)
 {
   /* What keeps an outage going may not be what began it. */
-  if (s->lost_us == 0 || s->lost_code != n->code)
+  if (s->lost_us == 0 || s->lost_code != n->status)
     {
       log_event (LOG_LEVEL_WARNING, "platform",
                  "source=%s outcome=lost reason=%s bytes=%" G_GINT64_FORMAT
                  " took_us=%" G_GINT64_FORMAT,
-                 source_names[s->source], lost_names[n->code],
+                 source_names[s->source], lost_names[n->status],
                  (gint64)n->bytes, (gint64)(now_us - s->asked_us));
-      s->lost_code = n->code;
+      s->lost_code = n->status;
     }
   /* It may have been gone since the call was sent. */
   if (s->lost_us == 0)
     s->lost_us = s->asked_us;
-  s->known = s->known && may_go_on (s, n->code);
+  s->known = s->known && may_go_on (s, n->status);
   loop_arm (s->follow->opts.loop, &s->timer,
             now_us + s->pause_us
                 + (int64_t)g_rand_int_range (s->follow->rand, 0,
@@ -548,7 +550,7 @@
 }
 
 static void
-on_news (void *arg, const struct news *n)
+on_news (void *arg, const struct follow_reply *n)
 {
   struct stream *s = arg;
   struct follow *f = s->follow;
@@ -557,7 +559,7 @@
   s->busy = false;
   if (f->stopped)
     return;
-  if (n->code == NEWS_HISTORY_LOST)
+  if (n->status == FOLLOW_HISTORY_LOST)
     {
       if (n->era > f->era)
         begin_era (f, n->era, now);
@@ -565,7 +567,7 @@
       ask (s, now);
       return;
     }
-  if (n->code != NEWS_OK)
+  if (n->status != FOLLOW_OK)
     {
       note_lost (s, n, now);
       return;
@@ -578,8 +580,8 @@
     }
   note_back (s, now);
   take_news (s, n, now);
-  if (f->opts.changed != NULL)
-    f->opts.changed (f->opts.arg, now);
+  if (f->opts.on_change != NULL)
+    f->opts.on_change (f->opts.arg, now);
   if (s->reading || now - s->asked_us >= gaps[s->source])
     ask (s, now);
   else
@@ -599,7 +601,7 @@
 }
 
 int64_t
-follow_wait_us (int64_t current_us, int64_t age_us)
+follow_poll_wait_us (int64_t current_us, int64_t age_us)
 {
   return CLAMP (current_us - ANSWER_US - age_us, OPERATOR_WAIT_MIN_US,
                 OPERATOR_WAIT_US);
@@ -612,7 +614,7 @@
 
   if (s->source == FOLLOW_ENDPOINTS)
     return ENDPOINTS_WAIT_US;
-  return follow_wait_us (o->current_us, fleet_age_us (o->fleet, now_us));
+  return follow_poll_wait_us (o->max_age_us, fleet_age_us (o->fleet, now_us));
 }
 
 static void
@@ -627,10 +629,10 @@
   s->busy = true;
   s->asked_us = now_us;
   s->reading = !s->known;
-  l.first_us = s->reading ? READ_US : wait + ANSWER_US;
-  l.whole_us = l.first_us + WHOLE_US;
+  l.first_byte_us = s->reading ? READ_US : wait + ANSWER_US;
+  l.total_us = l.first_byte_us + WHOLE_US;
   l.bytes_max = ANSWER_MAX_BYTES;
-  l.step_pieces = STEP_PIECES;
+  l.pieces_per_turn = STEP_PIECES;
   if (s->reading)
     o->read (o->ctx, s->source, &l, on_news, s);
   else
--- a/follow.h
+++ b/follow.h
@@ -16,22 +16,22 @@
   FOLLOW_SOURCES
 };
 
-enum news_kind
+enum follow_item_kind
 {
-  NEWS_CONF,        /* a configuration */
-  NEWS_WANTED,      /* a weight version was named */
-  NEWS_ENDPOINT,    /* an endpoint is listed */
-  NEWS_REMOVED,     /* an endpoint's entry was removed */
-  NEWS_EVACUATION,  /* the operator evacuates a failure domain */
-  NEWS_READMISSION, /* and took that back */
-  NEWS_SPOILED /* a row of the operator's or an endpoint's says nothing that
-                  can be used */
+  FOLLOW_ITEM_CONF,             /* a configuration */
+  FOLLOW_ITEM_WEIGHTS,          /* a weight version was named */
+  FOLLOW_ITEM_ENDPOINT,         /* an endpoint is listed */
+  FOLLOW_ITEM_ENDPOINT_REMOVED, /* an endpoint's entry was removed */
+  FOLLOW_ITEM_EVACUATION,       /* the operator evacuates a failure domain */
+  FOLLOW_ITEM_EVACUATION_END,   /* and took that back */
+  FOLLOW_ITEM_INVALID /* a row of the operator's or an endpoint's says nothing
+                  that can be used */
 };
 
 /* One thing the platform says. */
-struct news_item
+struct follow_item
 {
-  enum news_kind kind;          /* which of the fields below count */
+  enum follow_item_kind kind;   /* which of the fields below count */
   int64_t row;                  /* change that brought it; grows */
   struct fleet_conf *conf;      /* taken over by the receiver */
   char model[FLEET_NAME_SIZE];  /* whose weights */
@@ -39,43 +39,43 @@
   struct fleet_listing listing; /* endpoint; only its id if it was removed or
                                    spoiled; "" if the row is none */
   char domain[FLEET_NAME_SIZE]; /* evacuated, or no longer */
-  const char *flaw;             /* what is wrong with a spoiled row */
+  const char *error;            /* what is wrong with a spoiled row */
 };
 
-enum news_code
+enum follow_status
 {
-  NEWS_OK,
-  NEWS_HISTORY_LOST, /* changes since then are not to be had: read all */
-  NEWS_REFUSED,      /* over a rate, or turned away */
-  NEWS_SILENT,       /* no byte of an answer */
-  NEWS_STALLED,      /* part of one, and then no byte for too long */
-  NEWS_BROKEN,       /* part of one, that ended or took too long as a whole */
-  NEWS_TOO_LARGE,    /* an answer over the limit of size */
-  NEWS_UNREADABLE    /* a whole one that says nothing that is known */
+  FOLLOW_OK,
+  FOLLOW_HISTORY_LOST, /* changes since then are not to be had: read all */
+  FOLLOW_REFUSED,      /* over a rate, or turned away */
+  FOLLOW_NO_REPLY,     /* no byte of an answer */
+  FOLLOW_STALLED,      /* part of one, and then no byte for too long */
+  FOLLOW_INCOMPLETE, /* part of one, that ended or took too long as a whole */
+  FOLLOW_TOO_LARGE,  /* an answer over the limit of size */
+  FOLLOW_MALFORMED   /* a whole one that says nothing that is known */
 };
 
-struct news
+struct follow_reply
 {
-  enum news_code code; /* whether the rest counts */
+  enum follow_status status; /* whether the rest counts */
   int64_t era;         /* of the platform's store, 0 if unsaid; grows each time
                           it comes back from an older copy */
   int64_t version;     /* to ask for changes after, in that era */
   int64_t store_ms;    /* the platform's clock at that moment, 0 if unsaid */
   int64_t bytes;       /* of the answer, also of one that did not end */
-  int64_t came_us;     /* when it, or its first page, had arrived */
-  GArray *items;       /* struct news_item */
+  int64_t received_us; /* when it, or its first page, had arrived */
+  GArray *items;       /* struct follow_item */
 };
 
-typedef void (*news_done) (void *arg, const struct news *news);
+typedef void (*follow_done) (void *arg, const struct follow_reply *news);
 
 /* Limits of a call, or of each page of its answer. */
 struct follow_limits
 {
-  int64_t first_us; /* until the first byte of the answer */
-  int64_t stall_us; /* without a further byte */
-  int64_t whole_us; /* for all of it */
-  size_t bytes_max; /* taken of an answer */
-  int step_pieces;  /* of it (routes, rows) that are read in one turn */
+  int64_t first_byte_us; /* until the first byte of the answer */
+  int64_t stall_us;      /* without a further byte */
+  int64_t total_us;      /* for all of it */
+  size_t bytes_max;      /* taken of an answer */
+  int pieces_per_turn;   /* of it (routes, rows) that are read in one turn */
 };
 
 /* The platform, as an adapter offers it; DONE is always called, once. */
@@ -83,11 +83,12 @@
 {
   /* All there is now. */
   void (*read) (void *ctx, enum follow_source source,
-                const struct follow_limits *limits, news_done done, void *arg);
+                const struct follow_limits *limits, follow_done done,
+                void *arg);
   /* Changes after VERSION, waited for up to WAIT_US. */
   void (*changes) (void *ctx, enum follow_source source, int64_t version,
                    int64_t wait_us, const struct follow_limits *limits,
-                   news_done done, void *arg);
+                   follow_done done, void *arg);
   void *ctx; /* passed to both */
 };
 
@@ -98,9 +99,9 @@
   struct follow_ops ops; /* adapter */
   uint64_t seed;         /* of pauses */
   /* Knowledge of the operators' settings stays younger than this in calm. */
-  int64_t current_us;
+  int64_t max_age_us;
   /* Something changed in what was followed; may be NULL. */
-  void (*changed) (void *arg, int64_t now_us);
+  void (*on_change) (void *arg, int64_t now_us);
   void *arg; /* passed to changed */
 };
 
@@ -113,7 +114,7 @@
 void follow_free (struct follow *f);
 /* How long a poll for the operators' changes may wait, by the age that their
    knowledge has as it is sent and is to stay below. */
-int64_t follow_wait_us (int64_t current_us, int64_t age_us);
+int64_t follow_poll_wait_us (int64_t current_us, int64_t age_us);
 /* The platform's clock, not behind it; 0 while no answer told it. */
 int64_t follow_clock_ms (const struct follow *f, int64_t now_us);
 /* Era of the platform's store, the newest seen; 0 if it says none. */
--- a/librelay.h
+++ b/librelay.h
@@ -62,7 +62,7 @@
   const char *stopped;     /* why a callback stopped the attempt, or NULL */
   char **lines;            /* head of the answer */
   GString *answer;         /* whole answer so far */
-  struct evt events;       /* of a stream */
+  struct sse events;       /* of a stream */
   struct loop_msg unpause; /* posted when the reader caught up */
   int64_t sent_us;         /* when the attempt started */
   int64_t handed_us;     /* when its first attempt was handed over; 0: never */
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -68,23 +68,23 @@
 
 struct tell
 {
-  struct tell_opts opts;   /* as made */
-  apr_pool_t *pool;        /* of sockets and addresses */
-  apr_socket_t *sock;      /* bound */
-  int fd;                  /* the same */
-  struct loop_fd *watch;   /* in the loop */
-  struct roster_row self;  /* as written */
-  GPtrArray *listeners;    /* struct listener, lowest rank first */
-  struct load_gossip word; /* as sent last */
-  struct loop_timer say;   /* next word */
-  struct loop_timer list;  /* next read of the list */
-  int64_t list_pause_us;   /* after the next read */
-  GRand *rand;             /* for pauses */
-  bool written;            /* our own row stands */
-  bool listed;             /* the list that was read holds it */
-  bool outdated;           /* the write under way is of the era before */
-  bool stopped;            /* tells and asks nothing more */
-  int calls;               /* to the platform, under way */
+  struct loadgossip_opts opts; /* as made */
+  apr_pool_t *pool;            /* of sockets and addresses */
+  apr_socket_t *sock;          /* bound */
+  int fd;                      /* the same */
+  struct loop_fd *watch;       /* in the loop */
+  struct roster_row self;      /* as written */
+  GPtrArray *listeners;        /* struct listener, lowest rank first */
+  struct load_gossip word;     /* as sent last */
+  struct loop_timer say;       /* next word */
+  struct loop_timer list;      /* next read of the list */
+  int64_t list_pause_us;       /* after the next read */
+  GRand *rand;                 /* for pauses */
+  bool written;                /* our own row stands */
+  bool listed;                 /* the list that was read holds it */
+  bool outdated;               /* the write under way is of the era before */
+  bool stopped;                /* tells and asks nothing more */
+  int calls;                   /* to the platform, under way */
 };
 
 /* --- addresses ------------------------------------------------------- */
@@ -180,7 +180,7 @@
       l = t->listeners->pdata[i];
       near += l->near;
     }
-  load_scale (t->opts.book, near, MIN (near, LISTENERS_MAX),
+  load_scale (t->opts.load_table, near, MIN (near, LISTENERS_MAX),
               all > LISTENERS_MAX);
 }
 
@@ -233,10 +233,10 @@
   const struct listener *l;
   guint i, sent = 0;
 
-  t->opts.gather (t->opts.ctx, &t->word);
+  t->opts.collect_load (t->opts.ctx, &t->word);
   t->word.beat++;
-  load_take (t->opts.book, &t->word, now_us);
-  bytes = tell_encode (&t->word);
+  load_take (t->opts.load_table, &t->word, now_us);
+  bytes = loadgossip_encode (&t->word);
   for (i = 0; i < t->listeners->len && sent < LISTENERS_MAX; i++)
     {
       apr_size_t len = bytes->len;
@@ -252,7 +252,7 @@
 }
 
 void
-tell_send (struct tell *t, const GByteArray *datagram)
+loadgossip_send (struct tell *t, const GByteArray *datagram)
 {
   guint i;
 
@@ -271,14 +271,14 @@
 {
   struct tell *t = arg;
 
-  load_expire (t->opts.book, now_us);
+  load_expire (t->opts.load_table, now_us);
   send_word (t, now_us);
   loop_arm (t->opts.loop, &t->say,
             now_us + (t->word.n > 0 ? AGAIN_US : IDLE_US));
 }
 
 void
-tell_changed (struct tell *t, int64_t now_us)
+loadgossip_load_changed (struct tell *t, int64_t now_us)
 {
   if (t->stopped || (t->say.armed && t->say.due_us <= now_us + GATHER_US))
     return;
@@ -294,16 +294,16 @@
   struct listener *l;
   char *ip;
 
-  if (t->opts.other != NULL
-      && t->opts.other (t->opts.other_ctx, data, len, now_us))
+  if (t->opts.on_other_datagram != NULL
+      && t->opts.on_other_datagram (t->opts.on_other_ctx, data, len, now_us))
     return;
-  if (!tell_decode (data, len, &w) || strcmp (w.vm, t->self.vm) == 0
+  if (!loadgossip_decode (data, len, &w) || strcmp (w.vm, t->self.vm) == 0
       || apr_sockaddr_ip_get (&ip, (apr_sockaddr_t *)from) != APR_SUCCESS)
     {
       met_add (MET_LOADS_UNREAD, 1);
       return;
     }
-  if (!load_take (t->opts.book, &w, now_us))
+  if (!load_take (t->opts.load_table, &w, now_us))
     return;
   met_add (MET_LOADS_HEARD, 1);
   l = find (t, w.vm);
@@ -348,7 +348,7 @@
 /* --- the list -------------------------------------------------------- */
 
 void
-roster_read (struct roster_age *a, int64_t version, bool steady)
+roster_note_version (struct roster_age *a, int64_t version, bool steady)
 {
   if (version != a->version)
     a->unchanged = 0;
@@ -358,13 +358,13 @@
 }
 
 bool
-roster_counts (const struct roster_age *a)
+roster_is_active (const struct roster_age *a)
 {
   return a->unchanged < ABSENT_READS;
 }
 
 bool
-roster_is_gone (const struct roster_age *a)
+roster_is_expired (const struct roster_age *a)
 {
   return a->unchanged >= GONE_READS;
 }
@@ -372,7 +372,7 @@
 static bool
 has_duties (const struct listener *l)
 {
-  return l->listed && roster_counts (&l->age);
+  return l->listed && roster_is_active (&l->age);
 }
 
 static void
@@ -393,7 +393,8 @@
     {
       l->listed = true;
       l->in_list = true;
-      roster_read (&l->age, row->version, t->list_pause_us == LIST_MAX_US);
+      roster_note_version (&l->age, row->version,
+                           t->list_pause_us == LIST_MAX_US);
     }
   t->listed |= strcmp (row->vm, t->self.vm) == 0;
 }
@@ -408,7 +409,7 @@
   log_event (LOG_LEVEL_INFO, "vm_gone",
              "name=%s unchanged=%d version=%" G_GINT64_FORMAT, l->row.vm,
              l->age.unchanged, (gint64)l->age.version);
-  if (tell_is_first (t, key))
+  if (loadgossip_ranks_first (t, key))
     o->remove (o->ctx, l->row.vm, l->age.version);
 }
 
@@ -425,8 +426,8 @@
       if (!l->listed)
         continue;
       if (!l->in_list)
-        roster_read (&l->age, l->age.version, true);
-      if (!roster_is_gone (&l->age))
+        roster_note_version (&l->age, l->age.version, true);
+      if (!roster_is_expired (&l->age))
         continue;
       if (l->in_list)
         remove_row (t, l);
@@ -472,7 +473,7 @@
     log_event (LOG_LEVEL_INFO, "vms_listed", "vms=%d before=%d self=%s",
                count_listed (t), before, t->listed ? "yes" : "no");
   plan_list (t, now);
-  tell_changed (t, now);
+  loadgossip_load_changed (t, now);
 }
 
 static void
@@ -523,7 +524,7 @@
 }
 
 void
-tell_older_copy (struct tell *t, int64_t now_us)
+loadgossip_store_restored (struct tell *t, int64_t now_us)
 {
   t->written = false;
   t->outdated = t->calls > 0;
@@ -559,7 +560,7 @@
 }
 
 int
-tell_cold_part (const struct tell *t, uint64_t endpoint, int rate)
+loadgossip_cold_share (const struct tell *t, uint64_t endpoint, int rate)
 {
   if (!t->listed)
     return 0;
@@ -567,8 +568,8 @@
 }
 
 int64_t
-tell_limit_gap (const struct tell *t, uint64_t endpoint, int64_t milli,
-                int64_t clock_ms)
+loadgossip_limit_interval (const struct tell *t, uint64_t endpoint,
+                           int64_t milli, int64_t clock_ms)
 {
   int vms = count_listed (t);
   uint64_t turn = 0;
@@ -586,13 +587,13 @@
 }
 
 bool
-tell_is_among (const struct tell *t, uint64_t key, int places)
+loadgossip_ranks_within (const struct tell *t, uint64_t key, int places)
 {
   return !t->listed || rank_for (t, key) < places;
 }
 
 bool
-tell_is_first (const struct tell *t, uint64_t key)
+loadgossip_ranks_first (const struct tell *t, uint64_t key)
 {
   return t->listed && rank_for (t, key) == 0;
 }
@@ -600,7 +601,7 @@
 /* --- life ------------------------------------------------------------ */
 
 struct tell *
-tell_new (const struct tell_opts *opts)
+loadgossip_new (const struct loadgossip_opts *opts)
 {
   struct tell *t = g_new0 (struct tell, 1);
 
@@ -620,7 +621,7 @@
   t->list_pause_us = LIST_FIRST_US;
   if (!open_socket (t, opts->listen))
     {
-      tell_free (t);
+      loadgossip_free (t);
       return NULL;
     }
   t->watch = loop_add_fd (opts->loop, t->fd, on_readable, t);
@@ -633,7 +634,7 @@
 }
 
 void
-tell_stop (struct tell *t)
+loadgossip_stop (struct tell *t)
 {
   t->stopped = true;
   loop_disarm (&t->say);
@@ -641,13 +642,13 @@
 }
 
 int
-tell_waiting (const struct tell *t)
+loadgossip_waiting (const struct tell *t)
 {
   return t->calls;
 }
 
 void
-tell_free (struct tell *t)
+loadgossip_free (struct tell *t)
 {
   if (t->watch != NULL)
     loop_remove_fd (t->opts.loop, t->watch);
--- a/loadgossip.h
+++ b/loadgossip.h
@@ -41,22 +41,23 @@
 
 /* A read showed the row at VERSION.  STEADY: VMs have had the time to write it
    again since the read before.  Pure, as are the next two. */
-void roster_read (struct roster_age *a, int64_t version, bool steady);
+void roster_note_version (struct roster_age *a, int64_t version, bool steady);
 /* Whether the VM has a share in duties. */
-bool roster_counts (const struct roster_age *a);
+bool roster_is_active (const struct roster_age *a);
 /* Whether its row is to be removed. */
-bool roster_is_gone (const struct roster_age *a);
+bool roster_is_expired (const struct roster_age *a);
 
-struct tell_opts
+struct loadgossip_opts
 {
   struct loop *loop; /* whose thread runs it */
   /* Fill in what this VM's requests have under way: entries of WORD. */
-  void (*gather) (void *ctx, struct load_gossip *word);
-  void *ctx;               /* passed to it */
-  struct load_table *book; /* takes what others say */
+  void (*collect_load) (void *ctx, struct load_gossip *word);
+  void *ctx;                     /* passed to it */
+  struct load_table *load_table; /* takes what others say */
   /* Take a datagram of another kind; false if it is none.  May be NULL. */
-  bool (*other) (void *ctx, const char *data, size_t len, int64_t now_us);
-  void *other_ctx;       /* passed to it */
+  bool (*on_other_datagram) (void *ctx, const char *data, size_t len,
+                             int64_t now_us);
+  void *on_other_ctx;    /* passed to it */
   struct roster_ops ops; /* adapter */
   const char *vm;        /* this VM's name */
   const char *domain;    /* its failure domain */
@@ -67,37 +68,37 @@
 struct tell;
 
 /* NULL if the address cannot be had. */
-struct tell *tell_new (const struct tell_opts *opts);
+struct tell *loadgossip_new (const struct loadgossip_opts *opts);
 /* This VM's work at an endpoint changed: the others hear within some ms. */
-void tell_changed (struct tell *t, int64_t now_us);
+void loadgossip_load_changed (struct tell *t, int64_t now_us);
 /* The platform's store came back from an older copy, which may lack this VM's
    row. */
-void tell_older_copy (struct tell *t, int64_t now_us);
+void loadgossip_store_restored (struct tell *t, int64_t now_us);
 /* Send a datagram of another kind to the VMs that are told. */
-void tell_send (struct tell *t, const GByteArray *datagram);
+void loadgossip_send (struct tell *t, const GByteArray *datagram);
 /* Tell and ask nothing more. */
-void tell_stop (struct tell *t);
-void tell_free (struct tell *t);
+void loadgossip_stop (struct tell *t);
+void loadgossip_free (struct tell *t);
 /* This VM's part of the RATE of requests that the cold endpoint with key
    ENDPOINT bears from all VMs, by the list of VMs on the platform; 0 as long
    as this VM has not seen itself there. */
-int tell_cold_part (const struct tell *t, uint64_t endpoint, int rate);
+int loadgossip_cold_share (const struct tell *t, uint64_t endpoint, int rate);
 /* Time between this VM's requests to the endpoint with key ENDPOINT, which
    takes MILLI in 1000 s from all VMs, by the same list and CLOCK_MS, the
    platform's clock; 0 if this VM has no part now. */
-int64_t tell_limit_gap (const struct tell *t, uint64_t endpoint, int64_t milli,
-                        int64_t clock_ms);
+int64_t loadgossip_limit_interval (const struct tell *t, uint64_t endpoint,
+                                   int64_t milli, int64_t clock_ms);
 /* Whether this VM is among the PLACES that come first, of those that the
    platform lists, for what has digest KEY; true while it knows no list. */
-bool tell_is_among (const struct tell *t, uint64_t key, int places);
+bool loadgossip_ranks_within (const struct tell *t, uint64_t key, int places);
 /* Whether this VM comes first, of those that the platform lists, for what has
    digest KEY. */
-bool tell_is_first (const struct tell *t, uint64_t key);
+bool loadgossip_ranks_first (const struct tell *t, uint64_t key);
 /* Calls to the platform under way. */
-int tell_waiting (const struct tell *t);
+int loadgossip_waiting (const struct tell *t);
 
 /* A word as it is sent, and read; pure.  FALSE if the bytes are none. */
-GByteArray *tell_encode (const struct load_gossip *w);
-bool tell_decode (const char *data, size_t len, struct load_gossip *w);
+GByteArray *loadgossip_encode (const struct load_gossip *w);
+bool loadgossip_decode (const char *data, size_t len, struct load_gossip *w);
 
 #endif
--- a/loadgossipwire.c
+++ b/loadgossipwire.c
@@ -9,7 +9,7 @@
 #define WORD_MAX_BYTES 2048
 
 GByteArray *
-tell_encode (const struct load_gossip *w)
+loadgossip_encode (const struct load_gossip *w)
 {
   struct peer_work_entry entries[LOAD_ENTRIES_MAX];
   peer_work work = { .life = w->life, .beat = w->beat };
@@ -64,7 +64,7 @@
 }
 
 bool
-tell_decode (const char *data, size_t len, struct load_gossip *w)
+loadgossip_decode (const char *data, size_t len, struct load_gossip *w)
 {
   peer_work work = { 0 };
   bool good;
--- a/partfeed.c
+++ b/partfeed.c
@@ -58,7 +58,7 @@
   int64_t judged_us;           /* whether closely was looked up; 0 for never */
   bool freeing;                /* a call to free is under way */
   int64_t freed_us;            /* the last one was sent */
-  GArray *freed;               /* struct part_held that it names */
+  GArray *freed;               /* struct part_stored that it names */
 };
 
 struct partfeed
@@ -87,7 +87,7 @@
 static bool
 is_paced (const struct watch *w)
 {
-  return w->pace_us > 0 || !w->store->close;
+  return w->pace_us > 0 || !w->store->continuous;
 }
 
 static int64_t
@@ -112,7 +112,8 @@
              "store=%s outcome=%s pace_us=%" G_GINT64_FORMAT
              " held=%u known_us=%" G_GINT64_FORMAT,
              w->store->address, outcome, (gint64)w->pace_us,
-             g_hash_table_size (w->store->held), (gint64)w->store->known_us);
+             g_hash_table_size (w->store->stored),
+             (gint64)w->store->synced_us);
 }
 
 static void
@@ -140,20 +141,20 @@
 }
 
 static void
-take_events (struct watch *w, const struct part_news *n)
+take_events (struct watch *w, const struct partfeed_reply *n)
 {
-  const struct part_event *e;
+  const struct partfeed_event *e;
   guint i;
 
   for (i = 0; i < n->events->len; i++)
     {
-      e = &g_array_index (n->events, struct part_event, i);
-      if (e->added)
+      e = &g_array_index (n->events, struct partfeed_event, i);
+      if (e->stored)
         parts_added (w->store, &e->part);
       else
         parts_removed (w->store, e->part.scope, e->part.id);
     }
-  w->store->next = n->next;
+  w->store->next_event = n->next_event;
 }
 
 static void
@@ -166,22 +167,23 @@
              "store=%s outcome=%s epoch=%" G_GINT64_FORMAT
              " held=%u used=%" G_GINT64_FORMAT,
              w->store->address, reached ? "regained" : "lost",
-             (gint64)w->store->epoch, g_hash_table_size (w->store->held),
-             (gint64)w->store->used);
+             (gint64)w->store->epoch, g_hash_table_size (w->store->stored),
+             (gint64)w->store->used_tokens);
 }
 
 /* An answer of a life that is over may come after the next one's first. */
 static bool
-is_of_earlier_life (const struct parts_store *s, const struct part_news *n)
+is_of_earlier_life (const struct parts_store *s,
+                    const struct partfeed_reply *n)
 {
-  return n->code == PARTS_ANSWERED && n->born_ms != 0
+  return n->status == PARTFEED_OK && n->born_ms != 0
          && n->born_ms < s->born_ms;
 }
 
 /* A restart empties a store, and a gap hides what was freed: a part believed
    to be there would be a fetch in vain.  Both are followed by a list. */
 static void
-on_news (void *arg, const struct part_news *n)
+on_news (void *arg, const struct partfeed_reply *n)
 {
   struct watch *w = arg;
   int64_t now = loop_now_us ();
@@ -190,15 +192,15 @@
   w->busy = false;
   if (w->feed->stopped)
     return;
-  note_contact (w, n->code != PARTS_SILENT);
-  if (n->code == PARTS_SILENT)
+  note_contact (w, n->status != PARTFEED_NO_REPLY);
+  if (n->status == PARTFEED_NO_REPLY)
     {
-      parts_lost (w->store);
+      parts_store_unreachable (w->store);
       pause_then_ask (w, PAUSE_US, now);
       return;
     }
-  parts_heard (w->store, n->clock_ms, now);
-  if (n->code == PARTS_CROWDED)
+  parts_store_replied (w->store, n->clock_ms, now);
+  if (n->status == PARTFEED_RATE_LIMITED)
     {
       slow_down (w);
       pause_then_ask (w, drawn_pause (w, w->pace_us), now);
@@ -219,30 +221,31 @@
   speed_up (w);
   if (w->listing)
     {
-      parts_forget (w->store, n->epoch, n->next, now);
+      parts_store_reset (w->store, n->epoch, n->next_event, now);
       w->need_list = false;
     }
-  else if (n->epoch != w->store->epoch || n->lost || again)
+  else if (n->epoch != w->store->epoch || n->events_lost || again)
     {
       log_event (LOG_LEVEL_INFO, "store",
                  "store=%s outcome=%s epoch=%" G_GINT64_FORMAT
                  " before=%" G_GINT64_FORMAT,
-                 w->store->address, n->lost ? "gap" : "restarted",
+                 w->store->address, n->events_lost ? "gap" : "restarted",
                  (gint64)n->epoch, (gint64)w->store->epoch);
-      parts_forget (w->store, 0, 0, now);
+      parts_store_reset (w->store, 0, 0, now);
       w->need_list = true;
     }
   if (!w->need_list)
     {
       take_events (w, n);
-      parts_known (w->store, w->asked_us);
+      parts_store_synced (w->store, w->asked_us);
     }
   if (!is_paced (w) || w->need_list)
     ask (w, now);
   else
-    pause_then_ask (
-        w, drawn_pause (w, w->store->close ? w->pace_us : loose_us (w->feed)),
-        now);
+    pause_then_ask (w,
+                    drawn_pause (w, w->store->continuous ? w->pace_us
+                                                         : loose_us (w->feed)),
+                    now);
 }
 
 /*
@@ -260,13 +263,14 @@
 
   if (w->judged_us != 0 && now_us - w->judged_us < JUDGE_US)
     return;
-  close = o->is_among == NULL
-          || o->is_among (o->arg, key, MAX (calls * CLOSE_PERCENT / 100, 1));
-  if (w->judged_us == 0 || close != w->store->close)
+  close
+      = o->ranks_within == NULL
+        || o->ranks_within (o->arg, key, MAX (calls * CLOSE_PERCENT / 100, 1));
+  if (w->judged_us == 0 || close != w->store->continuous)
     log_event (LOG_LEVEL_INFO, "store", "store=%s outcome=%s calls_max=%d",
                w->store->address, close ? "close" : "loose",
                w->store->calls_max);
-  w->store->close = close;
+  w->store->continuous = close;
   w->judged_us = now_us;
 }
 
@@ -275,7 +279,7 @@
 {
   const struct partfeed_ops *o = &w->feed->opts.ops;
 
-  if (w->busy || w->feed->stopped || !w->store->listed)
+  if (w->busy || w->feed->stopped || !w->store->configured)
     return;
   judge (w, now_us);
   w->busy = true;
@@ -284,7 +288,7 @@
   if (w->listing)
     o->list (o->ctx, w->store->address, on_news, w);
   else
-    o->events (o->ctx, w->store->address, w->store->next,
+    o->events (o->ctx, w->store->address, w->store->next_event,
                is_paced (w) ? SHORT_WAIT_US : WAIT_US, on_news, w);
 }
 
@@ -310,7 +314,7 @@
   parts_take_conf (f->opts.parts, c);
   f->stores = 0;
   APR_RING_FOREACH (s, &f->opts.parts->stores, parts_store, link)
-  f->stores += s->listed;
+  f->stores += s->configured;
   APR_RING_FOREACH (s, &f->opts.parts->stores, parts_store, link)
   {
     w = watch_of (f, s);
@@ -320,7 +324,7 @@
         w->feed = f;
         w->store = s;
         w->need_list = true;
-        w->freed = g_array_new (FALSE, TRUE, sizeof (struct part_held));
+        w->freed = g_array_new (FALSE, TRUE, sizeof (struct part_stored));
         w->timer.fire = on_timer;
         w->timer.arg = w;
         APR_RING_ELEM_INIT (w, link);
@@ -340,7 +344,7 @@
 
   for (i = 0; i < w->freed->len; i++)
     {
-      struct part_held *h = &g_array_index (w->freed, struct part_held, i);
+      struct part_stored *h = &g_array_index (w->freed, struct part_stored, i);
 
       parts_removed (w->store, h->scope, h->id);
     }
@@ -378,7 +382,7 @@
 free_at (struct watch *w, const struct fleet_wanted *wanted, int64_t now_us)
 {
   const struct partfeed_ops *o = &w->feed->opts.ops;
-  const struct part_held *list[PARTS_FREE_MAX];
+  const struct part_stored *list[PARTS_FREE_MAX];
   int64_t version = safe_version (wanted, now_us);
   int n = version == 0 ? 0
                        : parts_outdated (w->store, wanted->model, version,
@@ -399,8 +403,8 @@
       w->store->address, n, wanted->model, (gint64)version,
       (gint64)w->store->epoch);
   o->free (o->ctx, w->store->address, w->store->epoch,
-           parts_clock_ms (w->store, now_us) + FREE_VOID_MS, list, n, on_freed,
-           w);
+           parts_store_clock_ms (w->store, now_us) + FREE_VOID_MS, list, n,
+           on_freed, w);
 }
 
 void
--- a/partfeed.h
+++ b/partfeed.h
@@ -9,44 +9,44 @@
 #include "parts.h"
 
 /* One thing a store says. */
-struct part_event
+struct partfeed_event
 {
-  bool added;            /* whole now; else gone */
-  struct part_held part; /* which */
+  bool stored;             /* whole now; else gone */
+  struct part_stored part; /* which */
 };
 
-enum part_code
+enum partfeed_status
 {
-  PARTS_ANSWERED, /* the rest of the news counts */
-  PARTS_CROWDED,  /* the store lives, and takes no more calls just now */
-  PARTS_SILENT    /* no answer, or none that can be read */
+  PARTFEED_OK,           /* the rest of the news counts */
+  PARTFEED_RATE_LIMITED, /* the store lives, and takes no more calls just now
+                          */
+  PARTFEED_NO_REPLY      /* no answer, or none that can be read */
 };
 
-struct part_news
+struct partfeed_reply
 {
-  enum part_code code; /* whether the rest counts */
-  bool lost;           /* events are missing before the first below */
-  int64_t epoch;       /* its life */
-  int64_t born_ms;     /* start of that life, Unix time; 0 if unsaid */
-  int64_t next;        /* number after the last event */
-  int64_t clock_ms;    /* its clock, 0 if unsaid */
-  GArray *events;      /* struct part_event */
+  enum partfeed_status status; /* whether the rest counts */
+  bool events_lost;            /* events are missing before the first below */
+  int64_t epoch;               /* its life */
+  int64_t born_ms;             /* start of that life, Unix time; 0 if unsaid */
+  int64_t next_event;          /* number after the last event */
+  int64_t clock_ms;            /* its clock, 0 if unsaid */
+  GArray *events;              /* struct partfeed_event */
 };
 
-typedef void (*part_news_done) (void *arg, const struct part_news *news);
+typedef void (*partfeed_done) (void *arg, const struct partfeed_reply *news);
 
 /* Stores, as an adapter offers them; done is always called, once. */
 struct partfeed_ops
 {
   /* Events from number SINCE on, waited for up to WAIT_US. */
   void (*events) (void *ctx, const char *address, int64_t since,
-                  int64_t wait_us, part_news_done done, void *arg);
+                  int64_t wait_us, partfeed_done done, void *arg);
   /* All that is kept. */
-  void (*list) (void *ctx, const char *address, part_news_done done,
-                void *arg);
+  void (*list) (void *ctx, const char *address, partfeed_done done, void *arg);
   /* Free parts, if the store's life is EPOCH and its clock before UNTIL_MS. */
   void (*free) (void *ctx, const char *address, int64_t epoch,
-                int64_t until_ms, const struct part_held **list, int n,
+                int64_t until_ms, const struct part_stored **list, int n,
                 void (*done) (void *arg, bool freed), void *arg);
   void *ctx; /* passed to all */
 };
@@ -58,7 +58,7 @@
   struct partfeed_ops ops; /* adapter */
   /* Whether this VM is among the PLACES that come first, of all VMs, for what
      has digest KEY; NULL if there are no others. */
-  bool (*is_among) (void *arg, uint64_t key, int places);
+  bool (*ranks_within) (void *arg, uint64_t key, int places);
   void *arg;     /* passed to it */
   uint64_t seed; /* of pauses */
 };
--- a/parts.c
+++ b/parts.c
@@ -60,7 +60,8 @@
 /* --- names ----------------------------------------------------------- */
 
 void
-parts_scope (char *to, const char *model, int64_t version, const char *owner)
+parts_scope_name (char *to, const char *model, int64_t version,
+                  const char *owner)
 {
   g_snprintf (to, PARTS_SCOPE_SIZE, "%s.v%" G_GINT64_FORMAT "%s%s", model,
               (gint64)version, owner != NULL ? "." : "",
@@ -107,7 +108,7 @@
 store_free (struct parts_store *s)
 {
   APR_RING_REMOVE (s, link);
-  g_hash_table_destroy (s->held);
+  g_hash_table_destroy (s->stored);
   g_hash_table_destroy (s->saving);
   g_free (s);
 }
@@ -141,21 +142,21 @@
     {
       s = g_new0 (struct parts_store, 1);
       g_strlcpy (s->address, sv->store_address, sizeof s->address);
-      s->held = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free,
-                                       g_free);
+      s->stored = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free,
+                                         g_free);
       s->saving = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free,
                                          g_free);
-      s->close = true;
+      s->continuous = true;
       APR_RING_ELEM_INIT (s, link);
       APR_RING_INSERT_TAIL (&p->stores, s, parts_store, link);
     }
   if (sv->domain != NULL)
     g_strlcpy (s->domain, sv->domain, sizeof s->domain);
-  s->capacity = sv->memory_tokens;
+  s->capacity_tokens = sv->memory_tokens;
   s->link_mbit_s = sv->link_mbit_s;
   s->calls_max = sv->calls_max;
-  s->first_us = sv->first_us;
-  s->listed = true;
+  s->transfer_latency_us = sv->first_us;
+  s->configured = true;
 }
 
 /* A store that is listed no more is kept but not used, since a call to it may
@@ -167,7 +168,7 @@
   struct fleet_service *sv;
   GHashTableIter it;
 
-  APR_RING_FOREACH (s, &p->stores, parts_store, link) s->listed = false;
+  APR_RING_FOREACH (s, &p->stores, parts_store, link) s->configured = false;
   g_hash_table_iter_init (&it, c->services);
   p->token_bytes = 0;
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&sv))
@@ -179,9 +180,9 @@
 }
 
 void
-parts_heard (struct parts_store *s, int64_t clock_ms, int64_t now_us)
+parts_store_replied (struct parts_store *s, int64_t clock_ms, int64_t now_us)
 {
-  s->heard_us = now_us;
+  s->replied_us = now_us;
   if (clock_ms <= 0)
     return;
   s->clock_ms = clock_ms;
@@ -189,47 +190,47 @@
 }
 
 void
-parts_lost (struct parts_store *s)
+parts_store_unreachable (struct parts_store *s)
 {
-  s->heard_us = 0;
+  s->replied_us = 0;
 }
 
 int64_t
-parts_clock_ms (const struct parts_store *s, int64_t now_us)
+parts_store_clock_ms (const struct parts_store *s, int64_t now_us)
 {
   return s->clock_ms + (now_us - s->clock_us) / CQ_US_PER_MS;
 }
 
 void
-parts_known (struct parts_store *s, int64_t at_us)
+parts_store_synced (struct parts_store *s, int64_t at_us)
 {
-  s->known_us = at_us;
+  s->synced_us = at_us;
 }
 
 void
-parts_forget (struct parts_store *s, int64_t epoch, int64_t next,
-              int64_t now_us)
+parts_store_reset (struct parts_store *s, int64_t epoch, int64_t next,
+                   int64_t now_us)
 {
   if (epoch != 0 && epoch != s->last_epoch)
     {
       s->last_epoch = epoch;
-      s->save_from_us = now_us + SETTLE_US;
+      s->no_save_until_us = now_us + SETTLE_US;
     }
-  g_hash_table_remove_all (s->held);
+  g_hash_table_remove_all (s->stored);
   g_hash_table_remove_all (s->saving);
-  s->used = 0;
+  s->used_tokens = 0;
   s->epoch = epoch;
-  s->next = next;
+  s->next_event = next;
 }
 
 void
-parts_added (struct parts_store *s, const struct part_held *h)
+parts_added (struct parts_store *s, const struct part_stored *h)
 {
   uint64_t key = key_of (h->scope, h->id);
-  struct part_held *old = g_hash_table_lookup (s->held, &key);
+  struct part_stored *old = g_hash_table_lookup (s->stored, &key);
 
-  s->used += h->tokens - (old != NULL ? old->tokens : 0);
-  g_hash_table_insert (s->held, copy_key (key), g_memdup2 (h, sizeof *h));
+  s->used_tokens += h->tokens - (old != NULL ? old->tokens : 0);
+  g_hash_table_insert (s->stored, copy_key (key), g_memdup2 (h, sizeof *h));
   g_hash_table_remove (s->saving, &key);
 }
 
@@ -237,12 +238,12 @@
 parts_removed (struct parts_store *s, const char *scope, const char *id)
 {
   uint64_t key = key_of (scope, id);
-  struct part_held *old = g_hash_table_lookup (s->held, &key);
+  struct part_stored *old = g_hash_table_lookup (s->stored, &key);
 
   if (old == NULL)
     return;
-  s->used -= old->tokens;
-  g_hash_table_remove (s->held, &key);
+  s->used_tokens -= old->tokens;
+  g_hash_table_remove (s->stored, &key);
 }
 
 /* --- plans ----------------------------------------------------------- */
@@ -250,8 +251,8 @@
 static bool
 is_alive (const struct parts_store *s, int64_t now_us)
 {
-  return s->listed && s->epoch != 0 && s->clock_ms > 0 && s->heard_us != 0
-         && now_us - s->heard_us < STORE_DEAD_US;
+  return s->configured && s->epoch != 0 && s->clock_ms > 0
+         && s->replied_us != 0 && now_us - s->replied_us < STORE_DEAD_US;
 }
 
 /* Kept work of a request that is bound to regions stays inside them. */
@@ -270,14 +271,14 @@
            const struct part *part, const char *domain, int64_t now_us)
 {
   struct parts_store *s, *best = NULL;
-  const struct part_held *h;
+  const struct part_stored *h;
 
   APR_RING_FOREACH (s, &p->stores, parts_store, link)
   {
-    if (!is_alive (s, now_us) || now_us - s->known_us > KNOWN_MAX_US
+    if (!is_alive (s, now_us) || now_us - s->synced_us > KNOWN_MAX_US
         || !may_use (q, s))
       continue;
-    h = g_hash_table_lookup (s->held, &key);
+    h = g_hash_table_lookup (s->stored, &key);
     if (h == NULL || h->tokens < part->tokens)
       continue;
     if (best == NULL || strcmp (s->domain, domain) == 0)
@@ -304,7 +305,7 @@
   uint64_t best = 0;
   int64_t i;
 
-  for (i = 0; i <= s->capacity / 200000 && i < 16; i++)
+  for (i = 0; i <= s->capacity_tokens / 200000 && i < 16; i++)
     {
       h = h * UINT64_C (0x9E3779B97F4A7C15) + 1;
       if ((h ^ (h >> 31)) > best)
@@ -318,8 +319,9 @@
 small_transfer_us (const struct parts *p, const struct parts_store *s)
 {
   if (s->link_mbit_s <= 0)
-    return s->first_us;
-  return s->first_us + SMALL_TOKENS * p->token_bytes * 8 / s->link_mbit_s;
+    return s->transfer_latency_us;
+  return s->transfer_latency_us
+         + SMALL_TOKENS * p->token_bytes * 8 / s->link_mbit_s;
 }
 
 /*
@@ -366,9 +368,11 @@
   {
     if (is_alive (s, now_us) && is_saving (s, key, now_us))
       return NULL;
-    if (!is_alive (s, now_us) || !may_use (q, s) || now_us < s->save_from_us
-        || now_us - s->known_us > SAVE_KNOWN_US
-        || s->used + part->tokens > s->capacity * FILL_PERCENT / 100)
+    if (!is_alive (s, now_us) || !may_use (q, s)
+        || now_us < s->no_save_until_us
+        || now_us - s->synced_us > SAVE_KNOWN_US
+        || s->used_tokens + part->tokens
+               > s->capacity_tokens * FILL_PERCENT / 100)
       continue;
     score = score_of (s, key);
     suited = suits (p, s, part, fastest);
@@ -404,12 +408,12 @@
 plan_fetch (struct parts_plan *plan, int i, const struct parts_query *q,
             const struct parts_store *s, int64_t now_us)
 {
-  int64_t until = parts_clock_ms (s, now_us) + void_ms (q);
+  int64_t until = parts_store_clock_ms (s, now_us) + void_ms (q);
 
   plan->fetch[i] = s->address;
   plan->fetch_tokens += q->list[i].tokens;
-  if (plan->nfetch++ == 0 || until < plan->until_ms)
-    plan->until_ms = until;
+  if (plan->nfetch++ == 0 || until < plan->fetch_deadline_ms)
+    plan->fetch_deadline_ms = until;
 }
 
 /* Old weights: only by a VM that knows when they can have been outdated, and
@@ -417,15 +421,18 @@
 static bool
 may_fetch (const struct parts_query *q, int64_t now_us)
 {
-  if (q->fresh_us == 0 || now_us - q->fresh_us > FETCH_FRESH_US)
+  if (q->weights_fresh_us == 0
+      || now_us - q->weights_fresh_us > FETCH_FRESH_US)
     return false;
   return !q->outdated
-         || (q->named_us != 0 && now_us - q->named_us < FETCH_OLD_US);
+         || (q->outdated_since_us != 0
+             && now_us - q->outdated_since_us < FETCH_OLD_US);
 }
 
 int64_t
-parts_stored (struct parts *p, const char *scope, const struct part *list,
-              int n, const char *domain, int64_t now_us)
+parts_stored_tokens (struct parts *p, const char *scope,
+                     const struct part *list, int n, const char *domain,
+                     int64_t now_us)
 {
   int64_t all = 0;
   int i;
@@ -446,7 +453,7 @@
   int64_t all = 0;
   int i;
 
-  for (i = 0; i < q->n - 1 && i < PARTS_MAX; i++)
+  for (i = 0; i < q->nparts - 1 && i < PARTS_MAX; i++)
     all += q->list[i].tokens;
   return all;
 }
@@ -468,7 +475,7 @@
   memset (plan, 0, sizeof *plan);
   if (!may_fetch (q, now_us) || shared_tokens (q) < p->min_tokens)
     return;
-  for (i = 0; i < q->n - 1 && i < PARTS_MAX; i++)
+  for (i = 0; i < q->nparts - 1 && i < PARTS_MAX; i++)
     {
       key = key_of (q->scope, q->list[i].id);
       s = find_held (p, q, key, &q->list[i], q->domain, now_us);
@@ -496,14 +503,14 @@
 
 int
 parts_outdated (const struct parts_store *s, const char *model,
-                int64_t version, const struct part_held **list, int max)
+                int64_t version, const struct part_stored **list, int max)
 {
   GHashTableIter it;
-  const struct part_held *h;
+  const struct part_stored *h;
   int64_t v;
   int n = 0;
 
-  g_hash_table_iter_init (&it, s->held);
+  g_hash_table_iter_init (&it, s->stored);
   while (n < max && g_hash_table_iter_next (&it, NULL, (gpointer *)&h))
     {
       v = scope_version (h->scope, model);
--- a/parts.h
+++ b/parts.h
@@ -33,7 +33,7 @@
 };
 
 /* A part that a store holds whole. */
-struct part_held
+struct part_stored
 {
   char scope[PARTS_SCOPE_SIZE]; /* weights and owner that it was made under */
   char id[PARTS_ID_SIZE];       /* its id */
@@ -46,24 +46,24 @@
   APR_RING_ENTRY (parts_store) link; /* in the directory's list */
   char address[FLEET_NAME_SIZE];     /* IP:PORT */
   char domain[FLEET_NAME_SIZE];      /* failure domain it stands in */
-  int64_t capacity;                  /* tokens it has room for */
+  int64_t capacity_tokens;           /* tokens it has room for */
   int64_t link_mbit_s;               /* of its link */
-  int64_t first_us;                  /* that each transfer waits in addition */
+  int64_t transfer_latency_us;       /* that each transfer waits in addition */
   int64_t epoch;                     /* its life; 0: not known */
   int64_t last_epoch;                /* its last life that was known */
   int64_t born_ms;                   /* start of that life, 0 if unsaid */
-  int64_t save_from_us;              /* nothing is saved before, see parts.c */
-  int64_t known_us;                  /* what it holds was current then */
-  int64_t next;                      /* number of its next event */
-  int64_t used;                      /* tokens known or asked to be kept */
-  int64_t heard_us;                  /* it answered last; 0 for never */
+  int64_t no_save_until_us;          /* nothing is saved before, see parts.c */
+  int64_t synced_us;                 /* what it holds was current then */
+  int64_t next_event;                /* number of its next event */
+  int64_t used_tokens;               /* tokens known or asked to be kept */
+  int64_t replied_us;                /* it answered last; 0 for never */
   int64_t clock_ms;                  /* its clock, when it said so last */
   int64_t clock_us;                  /* when that was */
-  GHashTable *held;                  /* key to struct part_held */
+  GHashTable *stored;                /* key to struct part_stored */
   GHashTable *saving;                /* key to when a save was asked for */
-  bool listed;                       /* still in the configuration */
+  bool configured;                   /* still in the configuration */
   int calls_max;                     /* that it holds at once; 0 if unsaid */
-  bool close;                        /* it is polled without a pause */
+  bool continuous;                   /* it is polled without a pause */
 };
 
 struct parts
@@ -82,7 +82,7 @@
   int nfetch;                   /* entries set in fetch */
   int nsave;                    /* entries set in save */
   int64_t fetch_tokens;         /* of these */
-  int64_t until_ms;             /* fetches are void then, stores' clock */
+  int64_t fetch_deadline_ms;    /* fetches are void then, stores' clock */
 };
 
 void parts_init (struct parts *p);
@@ -94,17 +94,18 @@
 
 /* A store answered at NOW_US; CLOCK_MS is 0 if it said nothing of its clock.
  */
-void parts_heard (struct parts_store *s, int64_t clock_ms, int64_t now_us);
+void parts_store_replied (struct parts_store *s, int64_t clock_ms,
+                          int64_t now_us);
 /* It did not answer: it is left alone until it does. */
-void parts_lost (struct parts_store *s);
+void parts_store_unreachable (struct parts_store *s);
 /* Its clock now, at the earliest. */
-int64_t parts_clock_ms (const struct parts_store *s, int64_t now_us);
+int64_t parts_store_clock_ms (const struct parts_store *s, int64_t now_us);
 /* It restarted, or its history has a gap: nothing is known of it. */
-void parts_forget (struct parts_store *s, int64_t epoch, int64_t next,
-                   int64_t now_us);
+void parts_store_reset (struct parts_store *s, int64_t epoch, int64_t next,
+                        int64_t now_us);
 /* What is known of it was current at AT_US. */
-void parts_known (struct parts_store *s, int64_t at_us);
-void parts_added (struct parts_store *s, const struct part_held *h);
+void parts_store_synced (struct parts_store *s, int64_t at_us);
+void parts_added (struct parts_store *s, const struct part_stored *h);
 void parts_removed (struct parts_store *s, const char *scope, const char *id);
 
 /* What is known when a request's parts are planned. */
@@ -112,20 +113,20 @@
 {
   const char *scope;         /* of the request */
   const struct part *list;   /* its prompt's parts; the last is its own */
-  int n;                     /* entries in list */
+  int nparts;                /* entries in list */
   const char *domain;        /* of its endpoint */
-  int64_t fresh_us;          /* knowledge of weights was current then */
+  int64_t weights_fresh_us;  /* knowledge of weights was current then */
   bool outdated;             /* newer weights than its own were named */
-  int64_t named_us;          /* not before that time; 0: not known */
+  int64_t outdated_since_us; /* not before that time; 0: not known */
   int64_t wait_us;           /* it may wait for so long before it begins */
   const struct fleet *fleet; /* knows regions; NULL: stores of all do */
   struct fleet_homes homes;  /* regions that the request may use */
 };
 
 /* Tokens of the N parts in LIST that stores hold whole. */
-int64_t parts_stored (struct parts *p, const char *scope,
-                      const struct part *list, int n, const char *domain,
-                      int64_t now_us);
+int64_t parts_stored_tokens (struct parts *p, const char *scope,
+                             const struct part *list, int n,
+                             const char *domain, int64_t now_us);
 
 void parts_plan (struct parts *p, const struct parts_query *q, int64_t now_us,
                  struct parts_plan *plan);
@@ -134,10 +135,10 @@
 bool parts_may_free (int64_t outdated_us, int64_t now_us);
 /* Parts in S of MODEL's weights older than VERSION; returns how many. */
 int parts_outdated (const struct parts_store *s, const char *model,
-                    int64_t version, const struct part_held **list, int max);
+                    int64_t version, const struct part_stored **list, int max);
 
 /* Name of the scope of a model's weights; OWNER NULL shares among all. */
-void parts_scope (char *to, const char *model, int64_t version,
-                  const char *owner);
+void parts_scope_name (char *to, const char *model, int64_t version,
+                       const char *owner);
 
 #endif
--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -82,8 +82,8 @@
 static void
 fuzz_platform (const char *data, size_t size)
 {
-  struct news news = { 0 };
-  struct part_news parts = { 0 };
+  struct follow_reply news = { 0 };
+  struct partfeed_reply parts = { 0 };
   struct fleet_conf *c = pdecode_conf (data, size);
   struct fleet_listing listing;
   char model[FLEET_NAME_SIZE];
@@ -101,10 +101,10 @@
   if (pdecode_wanted (data, size, model, sizeof model, &version)
       && version <= 0)
     g_error ("a version that is none");
-  news.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  news.items = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   pdecode_rows (data, size, &news);
   pdecode_clear (&news);
-  parts.events = g_array_new (FALSE, TRUE, sizeof (struct part_event));
+  parts.events = g_array_new (FALSE, TRUE, sizeof (struct partfeed_event));
   pdecode_parts (data, size, &parts);
   g_array_free (parts.events, TRUE);
 }
@@ -138,14 +138,14 @@
 {
   g_autoptr (GString) out = g_string_new (NULL);
   size_t half = size / 2;
-  struct evt e;
+  struct sse e;
 
-  evt_init (&e, -1);
-  evt_feed (&e, data, half, 4096, out);
-  evt_feed (&e, data + half, size - half, 4096, out);
-  if (out->len + e.part->len > size)
+  sse_init (&e, -1);
+  sse_feed (&e, data, half, 4096, out);
+  sse_feed (&e, data + half, size - half, 4096, out);
+  if (out->len + e.partial->len > size)
     g_error ("more came out than went in");
-  evt_clear (&e);
+  sse_clear (&e);
 }
 
 /* --- whole sets of headers ------------------------------------------- */
@@ -439,15 +439,15 @@
   "IlN0YXRlIjoicmVhZHkiLCJTbG90cyI6OH0="
 
 static bool
-has_endpoint (const struct news *n, const char *id)
+has_endpoint (const struct follow_reply *n, const char *id)
 {
-  const struct news_item *it;
+  const struct follow_item *it;
   guint i;
 
   for (i = 0; i < n->items->len; i++)
     {
-      it = &g_array_index (n->items, struct news_item, i);
-      if (it->kind == NEWS_ENDPOINT && strcmp (it->listing.id, id) == 0)
+      it = &g_array_index (n->items, struct follow_item, i);
+      if (it->kind == FOLLOW_ITEM_ENDPOINT && strcmp (it->listing.id, id) == 0)
         return true;
     }
   return false;
@@ -464,9 +464,9 @@
       "\"Value\":\"%s\"},{\"Table\":\"servers\",\"Key\":\"c\",\"Ver\":3,"
       "\"Value\":\"%s\"}],\"HasMore\":false}",
       GOOD_ENTRY, coded, GOOD_ENTRY);
-  struct news news = { 0 };
+  struct follow_reply news = { 0 };
 
-  news.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  news.items = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   if (!pdecode_rows (text, strlen (text), &news))
     g_error ("a table with a strange entry is not read");
   if (!has_endpoint (&news, "a") || !has_endpoint (&news, "c")
@@ -484,7 +484,7 @@
   struct load_gossip w = { .n = 0 };
   int i;
 
-  if (tell_decode (data, size, &w))
+  if (loadgossip_decode (data, size, &w))
     {
       if (w.n < 0 || w.n > LOAD_ENTRIES_MAX)
         g_error ("more entries than there is room for");
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -79,14 +79,14 @@
 }
 
 /* Version 2 of what the operator says. */
-static struct news_item
+static struct follow_item
 second_item (void)
 {
-  struct news_item it = { .kind = NEWS_CONF, .row = 2 };
+  struct follow_item it = { .kind = FOLLOW_ITEM_CONF, .row = 2 };
 
   if (world_is_off (EVACUATION))
     {
-      it.kind = NEWS_EVACUATION;
+      it.kind = FOLLOW_ITEM_EVACUATION;
       g_strlcpy (it.domain, DOMAIN, sizeof it.domain);
     }
   else
@@ -98,21 +98,22 @@
 static void
 tell (struct event *e)
 {
-  struct news_item it = { .kind = NEWS_CONF, .row = 1 };
+  struct follow_item it = { .kind = FOLLOW_ITEM_CONF, .row = 1 };
   g_autoptr (GArray) items = g_array_new (FALSE, TRUE, sizeof it);
-  struct news n
-      = { .code = e->reply.code == LEASE_DONE ? NEWS_OK : NEWS_SILENT };
+  struct follow_reply n
+      = { .status
+          = e->reply.code == LEASE_DONE ? FOLLOW_OK : FOLLOW_NO_REPLY };
 
   n.version = e->reply.version;
   n.store_ms = e->reply.store_ms;
-  n.came_us = world.now_us;
+  n.received_us = world.now_us;
   n.items = items;
-  if (n.code == NEWS_OK && e->after < 1)
+  if (n.status == FOLLOW_OK && e->after < 1)
     {
       it.conf = make_conf (false);
       g_array_append_val (items, it);
     }
-  if (n.code == NEWS_OK && e->after < 2 && n.version == 2)
+  if (n.status == FOLLOW_OK && e->after < 2 && n.version == 2)
     {
       it = second_item ();
       g_array_append_val (items, it);
@@ -155,7 +156,7 @@
 
 static void
 call (enum follow_source source, int64_t after, int64_t wait_us,
-      int64_t timeout_us, news_done done, void *arg)
+      int64_t timeout_us, follow_done done, void *arg)
 {
   static const char *const names[] = { "well",
                                        "its answer lost",
@@ -193,19 +194,19 @@
 
 static void
 read_all (void *ctx, enum follow_source source,
-          const struct follow_limits *limits, news_done done, void *arg)
+          const struct follow_limits *limits, follow_done done, void *arg)
 {
   (void)ctx;
-  call (source, 0, 0, limits->first_us, done, arg);
+  call (source, 0, 0, limits->first_byte_us, done, arg);
 }
 
 static void
 changes (void *ctx, enum follow_source source, int64_t version,
-         int64_t wait_us, const struct follow_limits *limits, news_done done,
+         int64_t wait_us, const struct follow_limits *limits, follow_done done,
          void *arg)
 {
   (void)ctx;
-  call (source, version, wait_us, limits->first_us, done, arg);
+  call (source, version, wait_us, limits->first_byte_us, done, arg);
 }
 
 /* --- requests -------------------------------------------------------- */
@@ -272,10 +273,10 @@
   o.ops.read = read_all;
   o.ops.changes = changes;
   o.ops.ctx = v;
-  o.changed = changed;
+  o.on_change = changed;
   o.arg = v;
   /* Polls wait their longest. */
-  o.current_us = 3000 * MS;
+  o.max_age_us = 3000 * MS;
   v->follow = follow_new (&o);
   relays.opts.fleet = &v->fleet;
   relays.opts.stale_us = BOUND_US - MARGIN_US;
--- a/regress/modelstore.c
+++ b/regress/modelstore.c
@@ -182,7 +182,7 @@
 static void
 add_naming (const struct event *e, GArray *items)
 {
-  struct news_item it = { .kind = NEWS_WANTED };
+  struct follow_item it = { .kind = FOLLOW_ITEM_WEIGHTS };
   const struct world_naming *last;
 
   if (e->naming < 0)
@@ -199,7 +199,7 @@
 static void
 add_endpoints (GArray *items)
 {
-  struct news_item it = { .kind = NEWS_ENDPOINT };
+  struct follow_item it = { .kind = FOLLOW_ITEM_ENDPOINT };
   int i;
 
   for (i = 0; i < world.nendpoints; i++)
@@ -212,17 +212,17 @@
 static void
 answer_news (struct event *e)
 {
-  struct news n = { .code = NEWS_SILENT };
+  struct follow_reply n = { .status = FOLLOW_NO_REPLY };
   g_autoptr (GArray) items
-      = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+      = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
 
   n.items = items;
   if (e->reply.code == LEASE_DONE)
     {
-      n.code = NEWS_OK;
+      n.status = FOLLOW_OK;
       n.version = e->reply.version;
       n.store_ms = e->reply.store_ms;
-      n.came_us = world.now_us;
+      n.received_us = world.now_us;
       if (e->source == FOLLOW_OPERATOR)
         add_naming (e, items);
       else if (e->after < 0)
@@ -286,7 +286,7 @@
 
 static void
 ask_news (struct vm *v, enum follow_source source, int64_t after,
-          int64_t wait_us, news_done done, void *arg)
+          int64_t wait_us, follow_done done, void *arg)
 {
   int way = source == FOLLOW_OPERATOR ? world_fault (v, POLL_WAYS) : 0;
   struct event *e;
@@ -318,7 +318,7 @@
 
 static void
 read_all (void *ctx, enum follow_source source,
-          const struct follow_limits *limits, news_done done, void *arg)
+          const struct follow_limits *limits, follow_done done, void *arg)
 {
   (void)limits;
   ask_news (ctx, source, -1, 0, done, arg);
@@ -326,7 +326,7 @@
 
 static void
 changes (void *ctx, enum follow_source source, int64_t version,
-         int64_t wait_us, const struct follow_limits *limits, news_done done,
+         int64_t wait_us, const struct follow_limits *limits, follow_done done,
          void *arg)
 {
   (void)limits;
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -313,10 +313,10 @@
 
   world_follow_ops (&o.ops);
   o.ops.ctx = v;
-  o.changed = look_at_orders;
+  o.on_change = look_at_orders;
   o.arg = v;
   /* Polls wait their longest. */
-  o.current_us = 3000 * MS;
+  o.max_age_us = 3000 * MS;
   o.seed = seed_of (v);
   v->follow = follow_new (&o);
   follow_start (v->follow);
--- a/regress/modelworld.h
+++ b/regress/modelworld.h
@@ -91,7 +91,7 @@
   lease_done lease;              /* whom to tell */
   state_done state;              /* likewise */
   order_done order;              /* likewise */
-  news_done news;                /* likewise */
+  follow_done news;              /* likewise */
   void *arg;                     /* passed to it */
   struct lease_reply reply;      /* about the row */
   struct lease_row row;          /* to be written */
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -61,22 +61,22 @@
   int i;
 
   for (i = 0; i < 50; i++)
-    roster_read (&a, 1, false);
-  g_assert_true (roster_counts (&a));
+    roster_note_version (&a, 1, false);
+  g_assert_true (roster_is_active (&a));
   for (i = 0; i < 50; i++)
     {
-      roster_read (&a, 2 + i / 4, true);
-      g_assert_true (roster_counts (&a));
+      roster_note_version (&a, 2 + i / 4, true);
+      g_assert_true (roster_is_active (&a));
     }
   for (i = 0; i < 5; i++)
-    roster_read (&a, a.version, true);
-  g_assert_false (roster_counts (&a));
-  g_assert_false (roster_is_gone (&a));
-  roster_read (&a, 100, true);
-  g_assert_true (roster_counts (&a));
+    roster_note_version (&a, a.version, true);
+  g_assert_false (roster_is_active (&a));
+  g_assert_false (roster_is_expired (&a));
+  roster_note_version (&a, 100, true);
+  g_assert_true (roster_is_active (&a));
   for (i = 0; i < 10; i++)
-    roster_read (&a, 100, true);
-  g_assert_true (roster_is_gone (&a));
+    roster_note_version (&a, 100, true);
+  g_assert_true (roster_is_expired (&a));
 }
 
 static int
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -64,7 +64,7 @@
   fleet_init (&f);
   evac_begin (&f, "east", 2);
   evac_begin (&f, "west", 3);
-  evac_missing (&f, "east", SETTLED_US);
+  evac_not_listed (&f, "east", SETTLED_US);
   g_assert_false (fleet_is_evacuated (&f, "east"));
   g_assert_true (fleet_is_evacuated (&f, "west"));
   fleet_clear (&f);
@@ -81,8 +81,8 @@
   evac_begin (&f, "east", 2);
   evac_begin (&f, "west", 3);
   fleet_list_back (&f, SETTLED_US);
-  evac_missing (&f, "east", SETTLED_US + 1);
-  evac_missing (&f, "west", SETTLED_US + 1);
+  evac_not_listed (&f, "east", SETTLED_US + 1);
+  evac_not_listed (&f, "west", SETTLED_US + 1);
   evac_sweep (&f, SETTLED_US + 2);
   g_assert_true (fleet_is_evacuated (&f, "east"));
   evac_begin (&f, "east", 1);
--- a/regress/test-fleet.c
+++ b/regress/test-fleet.c
@@ -454,10 +454,10 @@
       g_autoptr (GString) again = g_string_new (NULL);
       g_autoptr (GString) out = g_string_new (NULL);
       const char *nl = round % 2 ? "\r\n" : "\n";
-      struct evt e;
+      struct sse e;
       size_t at, n;
 
-      evt_init (&e, -1);
+      sse_init (&e, -1);
       for (i = 0; i < 12; i++)
         g_string_append_printf (whole, "id: %d%sdata: x%d%s%s", i * 3, nl, i,
                                 nl, nl);
@@ -466,19 +466,19 @@
           n = (size_t)g_rand_int_range (r, 1, 40);
           if (n > whole->len - at)
             n = whole->len - at;
-          g_assert_true (evt_feed (&e, whole->str + at, n, 4096, out));
+          g_assert_true (sse_feed (&e, whole->str + at, n, 4096, out));
         }
       g_assert_cmpstr (out->str, ==, whole->str);
-      g_assert_false (evt_in_part (&e));
+      g_assert_false (sse_has_partial (&e));
       g_assert_cmpint (e.last_id, ==, 33);
       g_string_printf (again, "id: 30%sdata: a%s%sid: 36%sdata: b%s%s", nl, nl,
                        nl, nl, nl, nl);
       g_string_truncate (out, 0);
-      evt_feed (&e, "id: 3", 5, 4096, out);
-      evt_restart (&e);
-      evt_feed (&e, again->str, again->len, 4096, out);
+      sse_feed (&e, "id: 3", 5, 4096, out);
+      sse_restart (&e);
+      sse_feed (&e, again->str, again->len, 4096, out);
       g_assert_true (g_str_has_prefix (out->str, "id: 36"));
-      evt_clear (&e);
+      sse_clear (&e);
     }
   g_rand_free (r);
 }
--- a/regress/test-follow.c
+++ b/regress/test-follow.c
@@ -19,7 +19,7 @@
   struct loop *loop;                           /* for pauses */
   struct fleet fleet;                          /* beliefs */
   struct follow *follow;                       /* under test */
-  news_done done[FOLLOW_SOURCES];              /* waiting for news */
+  follow_done done[FOLLOW_SOURCES];            /* waiting for news */
   void *arg[FOLLOW_SOURCES];                   /* for them */
   bool reading[FOLLOW_SOURCES];                /* a read, not a wait */
   int64_t after[FOLLOW_SOURCES];               /* version it waits after */
@@ -35,7 +35,7 @@
 
 static void
 read_all (void *ctx, enum follow_source s, const struct follow_limits *limits,
-          news_done done, void *arg)
+          follow_done done, void *arg)
 {
   struct source *p = ctx;
 
@@ -50,7 +50,7 @@
 static void
 wait_changes (void *ctx, enum follow_source s, int64_t version,
               int64_t wait_us, const struct follow_limits *limits,
-              news_done done, void *arg)
+              follow_done done, void *arg)
 {
   struct source *p = ctx;
 
@@ -78,7 +78,7 @@
   o.ops.read = read_all;
   o.ops.changes = wait_changes;
   o.ops.ctx = p;
-  o.current_us = CURRENT_US;
+  o.max_age_us = CURRENT_US;
   p->follow = follow_new (&o);
   follow_start (p->follow);
   return p;
@@ -95,23 +95,24 @@
 }
 
 static void
-tell (struct source *p, enum follow_source s, enum news_code code,
+tell (struct source *p, enum follow_source s, enum follow_status code,
       int64_t version, GArray *items)
 {
-  struct news n = { .code = code, .version = version, .items = items };
+  struct follow_reply n
+      = { .status = code, .version = version, .items = items };
   g_autoptr (GArray) none
-      = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+      = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   guint i;
 
   n.store_ms = p->store_ms;
   n.era = p->era;
-  n.came_us = loop_now_us () - p->read_us;
+  n.received_us = loop_now_us () - p->read_us;
   if (items == NULL)
     n.items = none;
   p->done[s](p->arg[s], &n);
   /* Settings that nobody took, as the adapter frees them. */
   for (i = 0; i < n.items->len; i++)
-    fleet_conf_unref (g_array_index (n.items, struct news_item, i).conf);
+    fleet_conf_unref (g_array_index (n.items, struct follow_item, i).conf);
   if (items != NULL)
     g_array_free (items, TRUE);
 }
@@ -119,11 +120,11 @@
 static GArray *
 endpoint_items (const char *const *ids, bool draining)
 {
-  GArray *a = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  GArray *a = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
 
   for (; *ids != NULL; ids++)
     {
-      struct news_item it = { .kind = NEWS_ENDPOINT };
+      struct follow_item it = { .kind = FOLLOW_ITEM_ENDPOINT };
 
       g_strlcpy (it.listing.id, *ids, sizeof it.listing.id);
       it.listing.draining = draining;
@@ -145,12 +146,12 @@
   struct source *p = source_new ();
   struct fleet_endpoint *e;
 
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 10, endpoint_items (three, false));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10, endpoint_items (three, false));
   g_assert_false (p->reading[FOLLOW_ENDPOINTS]);
   g_assert_cmpint (p->after[FOLLOW_ENDPOINTS], ==, 10);
-  tell (p, FOLLOW_ENDPOINTS, NEWS_HISTORY_LOST, 0, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_ENDPOINTS]);
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 30, endpoint_items (rest, true));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, endpoint_items (rest, true));
   e = g_hash_table_lookup (p->fleet.by_id, "a");
   g_assert_true (e->draining);
   g_assert_null (g_hash_table_lookup (p->fleet.by_id, "b"));
@@ -170,9 +171,9 @@
   struct source *p = source_new ();
   int64_t began = loop_now_us ();
 
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 10, endpoint_items (one, false));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10, endpoint_items (one, false));
   g_assert_cmpint (p->waits[FOLLOW_ENDPOINTS], ==, 1);
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 11, endpoint_items (one, false));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 11, endpoint_items (one, false));
   g_assert_cmpint (p->waits[FOLLOW_ENDPOINTS], ==, 1);
   p->stop_at_wait = true;
   loop_run (p->loop);
@@ -196,24 +197,24 @@
   int64_t polled_at, answered_at;
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   polled_at = loop_now_us ();
   g_usleep (30000);
   /* Given 20 ms after the first answer, and 10 ms or more on its way. */
   p->store_ms = 50020;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, >=, before + 19 * MS);
   g_assert_cmpint (p->fleet.fresh_us, <=, polled_at + 20 * MS);
   /* The clock jumps forward by an hour. */
   answered_at = loop_now_us ();
   p->store_ms = 50020 + 3600000;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
   /* And back. */
   g_usleep (10000);
   answered_at = loop_now_us ();
   p->store_ms = 50100;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
   source_free (p);
 }
@@ -230,11 +231,11 @@
   struct source *p = source_new ();
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_usleep (60000);
   p->store_ms = 50045;
   p->read_us = 40 * MS;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, loop_now_us () - 40 * MS);
   source_free (p);
 }
@@ -242,7 +243,7 @@
 static GArray *
 naming_item (GArray *a, int64_t row, int64_t version)
 {
-  struct news_item it = { .kind = NEWS_WANTED, .row = row };
+  struct follow_item it = { .kind = FOLLOW_ITEM_WEIGHTS, .row = row };
 
   g_strlcpy (it.model, "m", sizeof it.model);
   it.version = version;
@@ -266,24 +267,24 @@
 test_naming_time (void)
 {
   struct source *p = source_new ();
-  GArray *two = g_array_new (FALSE, TRUE, sizeof (struct news_item));
-  GArray *one = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  GArray *two = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
+  GArray *one = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   int64_t listed;
 
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, naming_item (one, 3, 1));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
   g_assert_cmpint (early_of (p, 1), ==, 0);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 20, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, NULL);
   g_usleep (20000);
   listed = loop_now_us ();
   p->store_ms = listed / MS;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 30, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
   naming_item (two, 25, 2);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 40, naming_item (two, 35, 3));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (two, 35, 3));
   g_assert_cmpint (early_of (p, 2), <, listed - 10 * MS);
   g_assert_cmpint (early_of (p, 3), >, listed - 10 * MS);
   source_free (p);
@@ -300,21 +301,21 @@
 test_naming_time_of_unseen (void)
 {
   struct source *p = source_new ();
-  GArray *one = g_array_new (FALSE, TRUE, sizeof (struct news_item));
-  GArray *three = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  GArray *one = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
+  GArray *three = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   int64_t read;
 
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, naming_item (one, 3, 1));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
   read = p->fleet.fresh_us;
-  tell (p, FOLLOW_OPERATOR, NEWS_SILENT, 0, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
   /* Version 2 is named in change 25, and row 25 is overwritten by row 35. */
   g_usleep (40000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 30, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 40, naming_item (three, 35, 3));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (three, 35, 3));
   g_assert_cmpint (early_of (p, 2), <=, read);
   source_free (p);
 }
@@ -329,11 +330,11 @@
   int64_t fresh;
 
   g_usleep (20000);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   fresh = p->fleet.fresh_us;
   g_assert_cmpint (fresh, <=, before);
   g_assert_cmpint (fresh, >, 0);
-  tell (p, FOLLOW_OPERATOR, NEWS_SILENT, 0, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
   g_assert_cmpint (p->fleet.fresh_us, ==, fresh);
   source_free (p);
 }
@@ -354,15 +355,15 @@
   for (current = 900 * MS; current < 6000 * MS; current += 50 * MS)
     for (age = 0; age < 9000 * MS; age += 30 * MS)
       {
-        wait = follow_wait_us (current, age);
+        wait = follow_poll_wait_us (current, age);
         g_assert_cmpint (wait, >=, 100 * MS);
         g_assert_cmpint (wait, <=, 2200 * MS);
         if (wait > 100 * MS)
           g_assert_cmpint (age + wait + ANSWER_US, <=, current);
       }
   /* Nothing is gained by asking more often than that. */
-  g_assert_cmpint (follow_wait_us (2900 * MS, 0), ==, 2200 * MS);
-  g_assert_cmpint (follow_wait_us (1900 * MS, 0), ==, 1400 * MS);
+  g_assert_cmpint (follow_poll_wait_us (2900 * MS, 0), ==, 2200 * MS);
+  g_assert_cmpint (follow_poll_wait_us (1900 * MS, 0), ==, 1400 * MS);
 }
 
 /*
@@ -377,11 +378,11 @@
   struct source *p = source_new ();
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], >, 1300 * MS);
   /* By its clock the answer was given when the call was sent. */
   g_usleep (700000);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 11, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 11, NULL);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], <, 800 * MS);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], >, 100 * MS);
   source_free (p);
@@ -400,23 +401,24 @@
   const struct follow_limits *l = &p->limits[FOLLOW_OPERATOR];
   int64_t largest_us = (int64_t)l->bytes_max * CQ_US_PER_S / LINK_BYTES_S;
 
-  g_assert_cmpint (l->first_us, <, CQ_US_PER_S);
-  g_assert_cmpint (l->whole_us, >=, 2 * largest_us);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  g_assert_cmpint (l->first_us, ==, p->wait_us[FOLLOW_OPERATOR] + ANSWER_US);
+  g_assert_cmpint (l->first_byte_us, <, CQ_US_PER_S);
+  g_assert_cmpint (l->total_us, >=, 2 * largest_us);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  g_assert_cmpint (l->first_byte_us, ==,
+                   p->wait_us[FOLLOW_OPERATOR] + ANSWER_US);
   g_assert_cmpint (l->stall_us, <=, ANSWER_US);
-  g_assert_cmpint (l->whole_us, >=, l->first_us + 2 * largest_us);
+  g_assert_cmpint (l->total_us, >=, l->first_byte_us + 2 * largest_us);
   source_free (p);
 }
 
 /* A call fails; the next one is waited for, and whether it reads is told. */
 static bool
-reads_after (enum follow_source s, enum news_code code)
+reads_after (enum follow_source s, enum follow_status code)
 {
   struct source *p = source_new ();
   bool reading;
 
-  tell (p, s, NEWS_OK, 10, NULL);
+  tell (p, s, FOLLOW_OK, 10, NULL);
   g_assert_false (p->reading[s]);
   p->after[s] = 0;
   p->stop_at_call = true;
@@ -438,13 +440,13 @@
 static void
 test_poll_goes_on (void)
 {
-  g_assert_false (reads_after (FOLLOW_OPERATOR, NEWS_SILENT));
-  g_assert_false (reads_after (FOLLOW_OPERATOR, NEWS_STALLED));
-  g_assert_false (reads_after (FOLLOW_OPERATOR, NEWS_REFUSED));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, NEWS_TOO_LARGE));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, NEWS_BROKEN));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, NEWS_UNREADABLE));
-  g_assert_true (reads_after (FOLLOW_ENDPOINTS, NEWS_SILENT));
+  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_NO_REPLY));
+  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_STALLED));
+  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_REFUSED));
+  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_TOO_LARGE));
+  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_INCOMPLETE));
+  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_MALFORMED));
+  g_assert_true (reads_after (FOLLOW_ENDPOINTS, FOLLOW_NO_REPLY));
 }
 
 /* --- eras ------------------------------------------------------------ */
@@ -452,8 +454,8 @@
 static GArray *
 conf_item (int64_t version, int64_t row)
 {
-  GArray *a = g_array_new (FALSE, TRUE, sizeof (struct news_item));
-  struct news_item it = { .kind = NEWS_CONF, .row = row };
+  GArray *a = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
+  struct follow_item it = { .kind = FOLLOW_ITEM_CONF, .row = row };
 
   it.conf = fleet_conf_new ();
   it.conf->version = version;
@@ -477,7 +479,7 @@
   struct source *p = source_new ();
 
   p->era = 1;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 100, conf_item (4, 100));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 100, conf_item (4, 100));
   g_assert_false (p->reading[FOLLOW_OPERATOR]);
   return p;
 }
@@ -494,10 +496,10 @@
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 120, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 120, NULL);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 121, conf_item (5, 70));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 121, conf_item (5, 70));
   g_assert_cmpint (p->fleet.conf->version, ==, 5);
   g_assert_cmpint (p->after[FOLLOW_OPERATOR], ==, 121);
   source_free (p);
@@ -511,12 +513,12 @@
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_OPERATOR, NEWS_HISTORY_LOST, 0, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, conf_item (3, 9));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, conf_item (3, 9));
   g_assert_cmpint (p->fleet.conf->version, ==, 4);
   g_assert_cmpint (p->after[FOLLOW_OPERATOR], ==, 10);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 12, conf_item (5, 12));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 12, conf_item (5, 12));
   g_assert_cmpint (p->fleet.conf->version, ==, 5);
   source_free (p);
 }
@@ -529,9 +531,9 @@
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 50, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, NULL);
   p->era = 1;
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 101, conf_item (9, 101));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 101, conf_item (9, 101));
   g_assert_cmpint (p->fleet.conf->version, ==, 4);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
@@ -545,12 +547,12 @@
   struct source *p = source_in_first_era ();
 
   p->era = 3;
-  tell (p, FOLLOW_OPERATOR, NEWS_REFUSED, 0, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_REFUSED, 0, NULL);
   next_call (p);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 300, NULL);
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, NULL);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, NEWS_OK, 300, conf_item (6, 60));
+  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, conf_item (6, 60));
   g_assert_cmpint (p->fleet.conf->version, ==, 6);
   source_free (p);
 }
@@ -566,11 +568,11 @@
   struct fleet_endpoint *b;
 
   p->era = 1;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 50, endpoint_items (two, false));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, endpoint_items (two, false));
   p->era = 2;
-  tell (p, FOLLOW_ENDPOINTS, NEWS_HISTORY_LOST, 0, NULL);
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_ENDPOINTS]);
-  tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 20, endpoint_items (one, false));
+  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, endpoint_items (one, false));
   b = g_hash_table_lookup (p->fleet.by_id, "b");
   g_assert_nonnull (b);
   g_assert_cmpint (b->missing_us, !=, 0);
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -102,7 +102,7 @@
   struct play *p = two_regions ();
   struct fleet_conf *c = fleet_conf_new ();
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
-  struct parts_query q = { .scope = "m.v1", .list = prompt, .n = 2 };
+  struct parts_query q = { .scope = "m.v1", .list = prompt, .nparts = 2 };
   g_auto (GStrv) home = regions ("r2");
   struct parts_store *store;
   struct parts_plan plan;
@@ -118,11 +118,11 @@
   parts_take_conf (&parts, c);
   fleet_conf_unref (c);
   store = parts_find_store (&parts, "store");
-  parts_forget (store, 7, 0, 0);
-  parts_heard (store, 50000, 10 * CQ_US_PER_S);
-  parts_known (store, 10 * CQ_US_PER_S);
+  parts_store_reset (store, 7, 0, 0);
+  parts_store_replied (store, 50000, 10 * CQ_US_PER_S);
+  parts_store_synced (store, 10 * CQ_US_PER_S);
   q.domain = "west";
-  q.fresh_us = 10 * CQ_US_PER_S;
+  q.weights_fresh_us = 10 * CQ_US_PER_S;
   q.fleet = &p->fleet;
   q.homes.workspace = (const char *const *)home;
   parts_plan (&parts, &q, 10 * CQ_US_PER_S, &plan);
--- a/regress/test-load.c
+++ b/regress/test-load.c
@@ -186,17 +186,17 @@
 
   while (w.n < LOAD_ENTRIES_MAX)
     add_work (&w, UINT64_C (1) << 63 | (unsigned)w.n, w.n, INT64_C (3) * w.n);
-  bytes = tell_encode (&w);
+  bytes = loadgossip_encode (&w);
   g_assert_cmpuint (bytes->len, <, 1700);
-  g_assert_true (tell_decode ((char *)bytes->data, bytes->len, &got));
+  g_assert_true (loadgossip_decode ((char *)bytes->data, bytes->len, &got));
   g_assert_cmpstr (got.vm, ==, "vm-1");
   g_assert_cmpstr (got.domain, ==, "d1");
   g_assert_true (got.life == UINT64_MAX);
   g_assert_cmpint (got.n, ==, LOAD_ENTRIES_MAX);
   g_assert_cmpint (got.entries[39].held, ==, 117);
   for (i = 0; i < bytes->len; i++)
-    g_assert_false (tell_decode ((char *)bytes->data, i, &got));
-  g_assert_false (tell_decode ("", 0, &got));
+    g_assert_false (loadgossip_decode ((char *)bytes->data, i, &got));
+  g_assert_false (loadgossip_decode ("", 0, &got));
 }
 
 /* --- placing --------------------------------------------------------- */
--- a/regress/test-parts.c
+++ b/regress/test-parts.c
@@ -41,9 +41,9 @@
   fleet_conf_unref (c);
   APR_RING_FOREACH (s, &p->stores, parts_store, link)
   {
-    parts_forget (s, 7, 0, 0);
-    parts_heard (s, 50000, 10 * S);
-    parts_known (s, 10 * S);
+    parts_store_reset (s, 7, 0, 0);
+    parts_store_replied (s, 50000, 10 * S);
+    parts_store_synced (s, 10 * S);
   }
 }
 
@@ -56,17 +56,17 @@
 static struct parts_query
 query (void)
 {
-  struct parts_query q = { .scope = "m.v1", .list = prompt, .n = 3 };
+  struct parts_query q = { .scope = "m.v1", .list = prompt, .nparts = 3 };
 
   q.domain = "d";
-  q.fresh_us = 10 * S;
+  q.weights_fresh_us = 10 * S;
   return q;
 }
 
 static void
 keep (struct parts *p, const char *store, const char *id, int64_t tokens)
 {
-  struct part_held h = { .tokens = tokens };
+  struct part_stored h = { .tokens = tokens };
 
   g_strlcpy (h.scope, "m.v1", sizeof h.scope);
   g_strlcpy (h.id, id, sizeof h.id);
@@ -119,7 +119,7 @@
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 2);
   q.list = little;
-  q.n = 2;
+  q.nparts = 2;
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch + plan.nsave, ==, 0);
   parts_clear (&p);
@@ -145,7 +145,7 @@
   g_assert_cmpstr (plan.fetch[1], ==, "roomy");
   g_assert_cmpint (plan.fetch_tokens, ==, 8512);
   /* Void a quarter second after now on the stores' clock. */
-  g_assert_cmpint (plan.until_ms, ==, 50250);
+  g_assert_cmpint (plan.fetch_deadline_ms, ==, 50250);
   parts_clear (&p);
 }
 
@@ -161,11 +161,11 @@
 
   two_stores (&p);
   keep (&p, "fast", "head", 512);
-  parts_scope (scope, "m", 1, "weavers");
+  parts_scope_name (scope, "m", 1, "weavers");
   q.scope = scope;
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 0);
-  parts_scope (scope, "m", 2, NULL);
+  parts_scope_name (scope, "m", 2, NULL);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 0);
   parts_clear (&p);
@@ -184,17 +184,17 @@
   keep (&p, "fast", "head", 512);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 1);
-  parts_lost (parts_find_store (&p, "fast"));
+  parts_store_unreachable (parts_find_store (&p, "fast"));
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 0);
-  q.fresh_us = 19 * S;
+  q.weights_fresh_us = 19 * S;
   parts_plan (&p, &q, 19 * S, &plan);
   g_assert_cmpint (plan.nfetch + plan.nsave, ==, 0);
-  parts_heard (parts_find_store (&p, "fast"), 54000, 19 * S);
-  parts_known (parts_find_store (&p, "fast"), 19 * S);
+  parts_store_replied (parts_find_store (&p, "fast"), 54000, 19 * S);
+  parts_store_synced (parts_find_store (&p, "fast"), 19 * S);
   parts_plan (&p, &q, 19 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 1);
-  parts_forget (parts_find_store (&p, "fast"), 8, 0, 19 * S);
+  parts_store_reset (parts_find_store (&p, "fast"), 8, 0, 19 * S);
   parts_plan (&p, &q, 19 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 0);
   parts_clear (&p);
@@ -250,15 +250,16 @@
           two_stores (&p);
           keep (&p, "fast", "head", 512);
           s = parts_find_store (&p, "fast");
-          parts_heard (s, (100 * S + now) / MS, 100 * S + now);
-          parts_known (s, 100 * S + now);
+          parts_store_replied (s, (100 * S + now) / MS, 100 * S + now);
+          parts_store_synced (s, 100 * S + now);
           q.outdated = now >= heard;
-          q.named_us = 100 * S + fresh;
-          q.fresh_us = 100 * S + (now >= heard ? now : fresh);
+          q.outdated_since_us = 100 * S + fresh;
+          q.weights_fresh_us = 100 * S + (now >= heard ? now : fresh);
           q.wait_us = 20 * S;
           parts_plan (&p, &q, 100 * S + now, &plan);
-          if (plan.nfetch > 0 && plan.until_ms * MS - 100 * S > last_void)
-            last_void = plan.until_ms * MS - 100 * S;
+          if (plan.nfetch > 0
+              && plan.fetch_deadline_ms * MS - 100 * S > last_void)
+            last_void = plan.fetch_deadline_ms * MS - 100 * S;
           parts_clear (&p);
         }
   g_assert_cmpint (last_void, >, 4 * S);
@@ -288,13 +289,14 @@
         two_stores (&p);
         keep (&p, "fast", "head", 512);
         s = parts_find_store (&p, "fast");
-        parts_heard (s, 100 * S / MS, 100 * S);
-        parts_known (s, 100 * S + known);
-        q.fresh_us = 100 * S + now;
+        parts_store_replied (s, 100 * S / MS, 100 * S);
+        parts_store_synced (s, 100 * S + known);
+        q.weights_fresh_us = 100 * S + now;
         q.wait_us = 20 * S;
         parts_plan (&p, &q, 100 * S + now, &plan);
-        if (plan.nfetch > 0 && plan.until_ms * MS - 100 * S > last_void)
-          last_void = plan.until_ms * MS - 100 * S;
+        if (plan.nfetch > 0
+            && plan.fetch_deadline_ms * MS - 100 * S > last_void)
+          last_void = plan.fetch_deadline_ms * MS - 100 * S;
         parts_clear (&p);
       }
   for (heard = 0; heard <= 3 * S; heard += 100 * MS)
@@ -302,10 +304,10 @@
       {
         two_stores (&p);
         s = parts_find_store (&p, "fast");
-        parts_forget (s, 8, 0, 100 * S + heard);
-        parts_heard (s, (100 * S + now) / MS, 100 * S + now);
-        parts_known (s, 100 * S + now);
-        q.fresh_us = 100 * S + now;
+        parts_store_reset (s, 8, 0, 100 * S + heard);
+        parts_store_replied (s, (100 * S + now) / MS, 100 * S + now);
+        parts_store_synced (s, 100 * S + now);
+        q.weights_fresh_us = 100 * S + now;
         parts_plan (&p, &q, 100 * S + now, &plan);
         if (plan.save[0] != NULL && strcmp (plan.save[0], "fast") == 0
             && now < first_save)
@@ -330,12 +332,12 @@
   struct parts_query q = query ();
 
   two_stores (&p);
-  q.fresh_us = 11 * S;
+  q.weights_fresh_us = 11 * S;
   parts_plan (&p, &q, 11 * S, &plan);
   g_assert_cmpint (plan.nsave, ==, 2);
   parts_clear (&p);
   two_stores (&p);
-  q.fresh_us = 12 * S;
+  q.weights_fresh_us = 12 * S;
   parts_plan (&p, &q, 12 * S, &plan);
   g_assert_cmpint (plan.nsave, ==, 0);
   parts_clear (&p);
@@ -349,7 +351,7 @@
   struct loop *loop;     /* for pauses */
   struct parts parts;    /* directory */
   struct partfeed *feed; /* under test */
-  part_news_done done;   /* waiting for news */
+  partfeed_done done;    /* waiting for news */
   void *arg;             /* for it */
   int64_t wait_us;       /* that the last poll asked for */
   int polls;             /* so far */
@@ -358,7 +360,7 @@
 
 static void
 ask_events (void *ctx, const char *address, int64_t since, int64_t wait_us,
-            part_news_done done, void *arg)
+            partfeed_done done, void *arg)
 {
   struct played *p = ctx;
 
@@ -373,7 +375,7 @@
 }
 
 static void
-ask_list (void *ctx, const char *address, part_news_done done, void *arg)
+ask_list (void *ctx, const char *address, partfeed_done done, void *arg)
 {
   struct played *p = ctx;
 
@@ -383,11 +385,11 @@
 }
 
 static void
-tell (struct played *p, enum part_code code)
+tell (struct played *p, enum partfeed_status code)
 {
-  struct part_news n = { .code = code, .epoch = 7, .clock_ms = 50000 };
+  struct partfeed_reply n = { .status = code, .epoch = 7, .clock_ms = 50000 };
 
-  n.events = g_array_new (FALSE, TRUE, sizeof (struct part_event));
+  n.events = g_array_new (FALSE, TRUE, sizeof (struct partfeed_event));
   p->done (p->arg, &n);
   g_array_free (n.events, TRUE);
 }
@@ -414,11 +416,11 @@
   parts_init (&p.parts);
   p.feed = partfeed_new (&o);
   partfeed_take_conf (p.feed, c);
-  tell (&p, PARTS_ANSWERED);
+  tell (&p, PARTFEED_OK);
   g_assert_cmpint (p.polls, ==, 1);
   g_assert_cmpint (p.wait_us, ==, S);
   began = loop_now_us ();
-  tell (&p, PARTS_CROWDED);
+  tell (&p, PARTFEED_RATE_LIMITED);
   g_assert_cmpint (p.polls, ==, 1);
   p.stop_at_poll = true;
   loop_run (p.loop);
@@ -426,12 +428,12 @@
   g_assert_cmpint (loop_now_us () - began, >=, 95 * MS);
   g_assert_cmpint (p.wait_us, <, S);
   s = parts_find_store (&p.parts, "fast");
-  g_assert_cmpint (s->heard_us, >=, began);
-  tell (&p, PARTS_ANSWERED);
+  g_assert_cmpint (s->replied_us, >=, began);
+  tell (&p, PARTFEED_OK);
   g_assert_cmpint (p.polls, ==, 2);
   loop_run (p.loop);
-  tell (&p, PARTS_SILENT);
-  g_assert_cmpint (s->heard_us, ==, 0);
+  tell (&p, PARTFEED_NO_REPLY);
+  g_assert_cmpint (s->replied_us, ==, 0);
   partfeed_stop (p.feed);
   partfeed_free (p.feed);
   parts_clear (&p.parts);
@@ -468,18 +470,18 @@
   o.ops.events = ask_events;
   o.ops.list = ask_list;
   o.ops.ctx = &p;
-  o.is_among = is_among;
+  o.ranks_within = is_among;
   o.arg = &among;
   add_store (c, "fast", 100000, 250000, 500);
   parts_init (&p.parts);
   p.feed = partfeed_new (&o);
   partfeed_take_conf (p.feed, c);
-  tell (&p, PARTS_ANSWERED);
+  tell (&p, PARTFEED_OK);
   p.stop_at_poll = true;
   for (i = 0; i < 2; i++)
     {
       began = loop_now_us ();
-      tell (&p, PARTS_ANSWERED);
+      tell (&p, PARTFEED_OK);
       loop_run (p.loop);
       now = loop_now_us ();
       g_assert_cmpint (now - began, >=, S / 2);
@@ -488,9 +490,9 @@
     }
   keep (&p.parts, "fast", "draft", 8000);
   s = parts_find_store (&p.parts, "fast");
-  s->save_from_us = 0;
-  now = s->known_us + 2 * S;
-  q.fresh_us = now;
+  s->no_save_until_us = 0;
+  now = s->synced_us + 2 * S;
+  q.weights_fresh_us = now;
   parts_plan (&p.parts, &q, now, &plan);
   g_assert_cmpint (plan.nfetch, ==, 1);
   g_assert_cmpint (plan.nsave, ==, 0);
@@ -515,7 +517,7 @@
   struct played p = { .loop = loop_new () };
   struct partfeed_opts o = { .loop = p.loop, .parts = &p.parts, .seed = 1 };
   struct fleet_conf *c = fleet_conf_new ();
-  struct part_news n = { .code = PARTS_ANSWERED, .epoch = 8 };
+  struct partfeed_reply n = { .status = PARTFEED_OK, .epoch = 8 };
   struct parts_store *s;
 
   o.ops.events = ask_events;
@@ -526,7 +528,7 @@
   p.feed = partfeed_new (&o);
   partfeed_take_conf (p.feed, c);
   s = parts_find_store (&p.parts, "fast");
-  n.events = g_array_new (FALSE, TRUE, sizeof (struct part_event));
+  n.events = g_array_new (FALSE, TRUE, sizeof (struct partfeed_event));
   n.born_ms = 2000;
   p.done (p.arg, &n);
   g_assert_cmpint (s->epoch, ==, 8);
--- a/regress/test-steps.c
+++ b/regress/test-steps.c
@@ -72,26 +72,27 @@
   return answer_with (coded);
 }
 
-static struct news
+static struct follow_reply
 news_new (void)
 {
-  struct news n = { 0 };
+  struct follow_reply n = { 0 };
 
-  n.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
+  n.items = g_array_new (FALSE, TRUE, sizeof (struct follow_item));
   return n;
 }
 
-static const struct news_item *
-item (const struct news *n, guint i)
+static const struct follow_item *
+item (const struct follow_reply *n, guint i)
 {
   g_assert_cmpuint (i, <, n->items->len);
-  return &g_array_index (n->items, struct news_item, i);
+  return &g_array_index (n->items, struct follow_item, i);
 }
 
 /* Read TEXT so many pieces a time; how many times that took, -1 if it is bad.
  */
 static int
-read_in_steps (const char *text, size_t len, int pieces, struct news *n)
+read_in_steps (const char *text, size_t len, int pieces,
+               struct follow_reply *n)
 {
   struct prows *p = prows_new (text, len, n);
   enum pdecode d;
@@ -125,18 +126,18 @@
 }
 
 static void
-check_news (const struct news *n, int routes)
+check_news (const struct follow_reply *n, int routes)
 {
   g_assert_cmpint (n->version, ==, 7);
   g_assert_cmpint (n->store_ms, ==, 5);
   g_assert_cmpuint (n->items->len, ==, 3);
-  g_assert_cmpint (item (n, 0)->kind, ==, NEWS_WANTED);
+  g_assert_cmpint (item (n, 0)->kind, ==, FOLLOW_ITEM_WEIGHTS);
   g_assert_cmpstr (item (n, 0)->model, ==, "m");
   g_assert_cmpint (item (n, 0)->version, ==, 3);
-  g_assert_cmpint (item (n, 1)->kind, ==, NEWS_CONF);
+  g_assert_cmpint (item (n, 1)->kind, ==, FOLLOW_ITEM_CONF);
   g_assert_cmpint (item (n, 1)->row, ==, 6);
   check_conf (item (n, 1)->conf, routes);
-  g_assert_cmpint (item (n, 2)->kind, ==, NEWS_ENDPOINT);
+  g_assert_cmpint (item (n, 2)->kind, ==, FOLLOW_ITEM_ENDPOINT);
   g_assert_cmpstr (item (n, 2)->listing.id, ==, "s1");
   g_assert_cmpstr (item (n, 2)->listing.address, ==, "10.0.0.1:1");
 }
@@ -153,7 +154,7 @@
 
   for (i = 0; i < G_N_ELEMENTS (pieces); i++)
     {
-      struct news n = news_new ();
+      struct follow_reply n = news_new ();
       int steps = read_in_steps (text, strlen (text), pieces[i], &n);
 
       g_assert_cmpint (steps, >=, 300 / pieces[i]);
@@ -174,13 +175,13 @@
 
   for (i = 0; i < len; i++)
     {
-      struct news n = news_new ();
+      struct follow_reply n = news_new ();
 
       g_assert_cmpint (read_in_steps (text, i, 2, &n), ==, -1);
       pdecode_clear (&n);
     }
   {
-    struct news n = news_new ();
+    struct follow_reply n = news_new ();
 
     g_assert_false (pdecode_rows (longer, len + 1, &n));
     pdecode_clear (&n);
@@ -211,7 +212,7 @@
 
   for (i = 0; i < G_N_ELEMENTS (texts); i++)
     {
-      struct news n = news_new ();
+      struct follow_reply n = news_new ();
 
       if (pdecode_rows (texts[i], strlen (texts[i]), &n))
         g_error ("read as an answer: %s", texts[i]);
@@ -248,16 +249,16 @@
   for (i = 0; i < G_N_ELEMENTS (values); i++)
     {
       g_autofree char *text = answer_with (values[i]);
-      struct news n = news_new ();
+      struct follow_reply n = news_new ();
 
       g_assert_cmpint (read_in_steps (text, strlen (text), 5, &n), >, 0);
       g_assert_cmpuint (n.items->len, ==, 3);
-      g_assert_cmpint (item (&n, 0)->kind, ==, NEWS_WANTED);
-      g_assert_cmpint (item (&n, 1)->kind, ==, NEWS_SPOILED);
+      g_assert_cmpint (item (&n, 0)->kind, ==, FOLLOW_ITEM_WEIGHTS);
+      g_assert_cmpint (item (&n, 1)->kind, ==, FOLLOW_ITEM_INVALID);
       g_assert_cmpstr (item (&n, 1)->listing.id, ==, "");
-      g_assert_nonnull (item (&n, 1)->flaw);
+      g_assert_nonnull (item (&n, 1)->error);
       g_assert_null (item (&n, 1)->conf);
-      g_assert_cmpint (item (&n, 2)->kind, ==, NEWS_ENDPOINT);
+      g_assert_cmpint (item (&n, 2)->kind, ==, FOLLOW_ITEM_ENDPOINT);
       pdecode_clear (&n);
     }
 }
@@ -272,7 +273,7 @@
   g_auto (GStrv) parts = g_strsplit (coded, "0", -1);
   g_autofree char *escaped = g_strjoinv ("\\u0030", parts);
   g_autofree char *text = answer_with (escaped);
-  struct news n = news_new ();
+  struct follow_reply n = news_new ();
 
   g_assert_nonnull (strchr (escaped, '\\'));
   g_assert_cmpint (read_in_steps (text, strlen (text), 2, &n), >, 0);
@@ -537,27 +538,28 @@
 }
 
 static void
-on_news (void *arg, const struct news *n)
+on_news (void *arg, const struct follow_reply *n)
 {
   struct reading *r = arg;
 
-  g_assert_cmpint (n->code, ==, NEWS_OK);
+  g_assert_cmpint (n->status, ==, FOLLOW_OK);
   check_news (n, MANY);
   r->steps++;
   r->held = xfer_count (r->pool);
-  r->meanwhile = served_since (&r->served, n->came_us);
-  tell_cost (&r->served, n->came_us);
+  r->meanwhile = served_since (&r->served, n->received_us);
+  tell_cost (&r->served, n->received_us);
   loop_stop (r->served.loop);
 }
 
 static void
 call_store (struct reading *r, const char *address)
 {
-  static const struct follow_limits limits = { .first_us = 20000000,
-                                               .stall_us = 20000000,
-                                               .whole_us = 20000000,
-                                               .bytes_max = 4194304,
-                                               .step_pieces = TURN_PIECES };
+  static const struct follow_limits limits
+      = { .first_byte_us = 20000000,
+          .stall_us = 20000000,
+          .total_us = 20000000,
+          .bytes_max = 4194304,
+          .pieces_per_turn = TURN_PIECES };
   struct pstore *store = pstore_new (r->pool, address);
   struct follow_ops ops;
 
--- a/relay.c
+++ b/relay.c
@@ -100,7 +100,7 @@
 
   for (i = 0; i < r->ntried; i++)
     fleet_endpoint_unref (r->tried[i]);
-  evt_clear (&r->events);
+  sse_clear (&r->events);
   g_string_free (r->answer, TRUE);
   g_strfreev (r->lines);
   fleet_conf_unref (r->conf);
@@ -291,7 +291,7 @@
   if (d->deadline_us > 0 && d->deadline_us < r->end_us)
     r->end_us = d->deadline_us;
   r->answer = g_string_new (NULL);
-  evt_init (&r->events, d->resume_after);
+  sse_init (&r->events, d->resume_after);
   APR_RING_ELEM_INIT (r, link);
   APR_RING_INSERT_TAIL (&rs->all, r, relay, link);
   rs->count++;
--- a/relaytry.c
+++ b/relaytry.c
@@ -241,7 +241,7 @@
       r->paused = true;
       return RELAY_PAUSE;
     }
-  if (!evt_feed (&r->events, data, len, EVENT_MAX, events))
+  if (!sse_feed (&r->events, data, len, EVENT_MAX, events))
     {
       r->stopped = "event_too_large";
       return RELAY_STOP;
@@ -277,7 +277,7 @@
   if (r->not_run)
     return SEND_REFUSED;
   if (!whole || r->stopped != NULL
-      || (r->streaming && evt_in_part (&r->events)))
+      || (r->streaming && sse_has_partial (&r->events)))
     return SEND_REPLIED;
   return SEND_WHOLE;
 }
@@ -453,8 +453,8 @@
 {
   bool alone = r->workspace != NULL && r->workspace->isolated;
 
-  parts_scope (r->cache_scope, c->endpoint->is.model, c->version,
-               alone ? r->workspace->name : NULL);
+  parts_scope_name (r->cache_scope, c->endpoint->is.model, c->version,
+                    alone ? r->workspace->name : NULL);
 }
 
 static struct fleet_homes
@@ -479,11 +479,11 @@
   memset (&r->kept, 0, sizeof r->kept);
   if (o->parts == NULL || !r->route->sticky)
     return;
-  q.n = r->desc.nparts;
+  q.nparts = r->desc.nparts;
   q.domain = c->endpoint->is.domain;
-  q.fresh_us = o->fleet->fresh_us;
+  q.weights_fresh_us = o->fleet->fresh_us;
   q.outdated = newer != NULL;
-  q.named_us = MAX (fleet_outdated_since (o->fleet, c->endpoint), 0);
+  q.outdated_since_us = MAX (fleet_outdated_since (o->fleet, c->endpoint), 0);
   q.wait_us = c->wait_us;
   q.fleet = o->fleet;
   q.homes = homes_of (r);
@@ -550,7 +550,7 @@
   r->answering = false;
   r->paused = false;
   g_string_truncate (r->answer, 0);
-  evt_restart (&r->events);
+  sse_restart (&r->events);
   if (model)
     {
       set_scope (r, c);
--- a/relaywork.c
+++ b/relaywork.c
@@ -54,10 +54,10 @@
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
-  parts_scope (scope, sv->model, w != NULL ? w->version : 1,
-               alone ? r->workspace->name : NULL);
-  r->work.stored = parts_stored (o->parts, scope, r->desc.parts,
-                                 r->desc.nparts - 1, o->domain, now_us);
+  parts_scope_name (scope, sv->model, w != NULL ? w->version : 1,
+                    alone ? r->workspace->name : NULL);
+  r->work.stored = parts_stored_tokens (o->parts, scope, r->desc.parts,
+                                        r->desc.nparts - 1, o->domain, now_us);
 }
 
 /* --- what is under way ----------------------------------------------- */
--- a/sse.c
+++ b/sse.c
@@ -4,30 +4,30 @@
 #include <string.h>
 
 void
-evt_init (struct evt *e, int64_t after)
+sse_init (struct sse *e, int64_t after)
 {
-  e->part = g_string_new (NULL);
+  e->partial = g_string_new (NULL);
   e->last_id = after;
 }
 
 void
-evt_clear (struct evt *e)
+sse_clear (struct sse *e)
 {
-  if (e->part != NULL)
-    g_string_free (e->part, TRUE);
-  e->part = NULL;
+  if (e->partial != NULL)
+    g_string_free (e->partial, TRUE);
+  e->partial = NULL;
 }
 
 void
-evt_restart (struct evt *e)
+sse_restart (struct sse *e)
 {
-  g_string_truncate (e->part, 0);
+  g_string_truncate (e->partial, 0);
 }
 
 bool
-evt_in_part (const struct evt *e)
+sse_has_partial (const struct sse *e)
 {
-  return e->part->len > 0;
+  return e->partial->len > 0;
 }
 
 /* Bytes up to and with the blank line that ends the first event, or 0. */
@@ -65,24 +65,24 @@
 }
 
 bool
-evt_feed (struct evt *e, const char *data, size_t len, size_t max, GString *to)
+sse_feed (struct sse *e, const char *data, size_t len, size_t max, GString *to)
 {
   /* Two bytes back: the blank line may be cut. */
-  size_t from = e->part->len > 2 ? e->part->len - 2 : 0;
+  size_t from = e->partial->len > 2 ? e->partial->len - 2 : 0;
   size_t n;
   int64_t id;
 
-  g_string_append_len (e->part, data, (gssize)len);
-  while ((n = first_event (e->part, from)) > 0)
+  g_string_append_len (e->partial, data, (gssize)len);
+  while ((n = first_event (e->partial, from)) > 0)
     {
-      id = id_of (e->part->str, n);
+      id = id_of (e->partial->str, n);
       /* A run that goes on may repeat what the caller has. */
       if (id < 0 || id > e->last_id)
-        g_string_append_len (to, e->part->str, (gssize)n);
+        g_string_append_len (to, e->partial->str, (gssize)n);
       if (id > e->last_id)
         e->last_id = id;
-      g_string_erase (e->part, 0, (gssize)n);
+      g_string_erase (e->partial, 0, (gssize)n);
       from = 0;
     }
-  return e->part->len <= max;
+  return e->partial->len <= max;
 }
--- a/sse.h
+++ b/sse.h
@@ -7,21 +7,21 @@
 #include <stdint.h>
 
 /* A stream over all attempts at it. */
-struct evt
+struct sse
 {
-  GString *part;   /* an event that is not whole yet */
-  int64_t last_id; /* of the last event passed on, -1 before any */
+  GString *partial; /* an event that is not whole yet */
+  int64_t last_id;  /* of the last event passed on, -1 before any */
 };
 
-void evt_init (struct evt *e, int64_t after);
-void evt_clear (struct evt *e);
+void sse_init (struct sse *e, int64_t after);
+void sse_clear (struct sse *e);
 /* A new attempt begins: what the last one left in part is void. */
-void evt_restart (struct evt *e);
+void sse_restart (struct sse *e);
 /* Take bytes; whole new events are appended to TO.  False if one event is
    larger than MAX bytes. */
-bool evt_feed (struct evt *e, const char *data, size_t len, size_t max,
+bool sse_feed (struct sse *e, const char *data, size_t len, size_t max,
                GString *to);
 /* Whether an event has begun and not ended. */
-bool evt_in_part (const struct evt *e);
+bool sse_has_partial (const struct sse *e);
 
 #endif
