--- a/bench/replay.c
+++ b/bench/replay.c
@@ -157,7 +157,7 @@
 }
 
 static void
-loadgossip (int vm, struct note n, int64_t lag_us)
+tell (int vm, struct note n, int64_t lag_us)
 {
   n.made_us = run->now_us;
   n.at_us = run->now_us + lag_us;
@@ -171,7 +171,7 @@
 
   for (vm = 0; vm < run->w->domains; vm++)
     if (reaches (vm, domain))
-      loadgossip (vm, n, lag_us);
+      tell (vm, n, lag_us);
 }
 
 static void
--- a/entry.c
+++ b/entry.c
@@ -48,7 +48,7 @@
   int64_t duty_us;               /* this VM gave orders last */
   int64_t era;                   /* of the store, as seen last */
   struct load_table *book;       /* work of other VMs */
-  struct tell *tell;             /* tells them of ours; NULL if unset */
+  struct loadgossip *tell;       /* tells them of ours; NULL if unset */
   struct quar *quar;             /* requests that crash endpoints */
   struct quarfeed *quarfeed;     /* shares that with other VMs */
   struct relays *relays;         /* requests under way */
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -66,7 +66,7 @@
   struct roster_age age; /* of its row; with listed */
 };
 
-struct tell
+struct loadgossip
 {
   struct loadgossip_opts opts; /* as made */
   apr_pool_t *pool;            /* of sockets and addresses */
@@ -91,7 +91,7 @@
 
 /* APR's parser refuses port 0. */
 static apr_sockaddr_t *
-address_of (struct tell *t, const char *text)
+address_of (struct loadgossip *t, const char *text)
 {
   const char *colon = strrchr (text, ':');
   g_autofree char *host = NULL;
@@ -110,7 +110,7 @@
 }
 
 static bool
-open_socket (struct tell *t, const char *address)
+open_socket (struct loadgossip *t, const char *address)
 {
   apr_sockaddr_t *sa = address_of (t, address);
   apr_os_sock_t fd;
@@ -146,14 +146,14 @@
 }
 
 static uint64_t
-rank_of (const struct tell *t, const char *vm)
+rank_of (const struct loadgossip *t, const char *vm)
 {
   return XXH3_64bits_withSeed (vm, strlen (vm),
                                XXH3_64bits (t->self.vm, strlen (t->self.vm)));
 }
 
 static struct listener *
-find (const struct tell *t, const char *vm)
+find (const struct loadgossip *t, const char *vm)
 {
   struct listener *l;
   guint i;
@@ -168,7 +168,7 @@
 }
 
 static void
-scale (struct tell *t)
+scale (struct loadgossip *t)
 {
   const struct listener *l;
   int all = (int)t->listeners->len;
@@ -187,8 +187,8 @@
 /* A VM is listed, or spoke from ADDRESS: one that starts again elsewhere under
    its name is told there. */
 static struct listener *
-note_vm (struct tell *t, const struct roster_row *row, const char *source,
-         int64_t now_us)
+note_vm (struct loadgossip *t, const struct roster_row *row,
+         const char *source, int64_t now_us)
 {
   struct listener *l = find (t, row->vm);
   apr_sockaddr_t *to;
@@ -227,7 +227,7 @@
 /* --- words ----------------------------------------------------------- */
 
 static void
-send_word (struct tell *t, int64_t now_us)
+send_word (struct loadgossip *t, int64_t now_us)
 {
   g_autoptr (GByteArray) bytes = NULL;
   const struct listener *l;
@@ -252,7 +252,7 @@
 }
 
 void
-loadgossip_send (struct tell *t, const GByteArray *datagram)
+loadgossip_send (struct loadgossip *t, const GByteArray *datagram)
 {
   guint i;
 
@@ -269,7 +269,7 @@
 static void
 on_say (void *arg, int64_t now_us)
 {
-  struct tell *t = arg;
+  struct loadgossip *t = arg;
 
   load_expire (t->opts.load_table, now_us);
   send_word (t, now_us);
@@ -278,7 +278,7 @@
 }
 
 void
-loadgossip_load_changed (struct tell *t, int64_t now_us)
+loadgossip_load_changed (struct loadgossip *t, int64_t now_us)
 {
   if (t->stopped || (t->say.armed && t->say.due_us <= now_us + GATHER_US))
     return;
@@ -286,8 +286,8 @@
 }
 
 static void
-hear (struct tell *t, const char *data, size_t len, const apr_sockaddr_t *from,
-      int64_t now_us)
+hear (struct loadgossip *t, const char *data, size_t len,
+      const apr_sockaddr_t *from, int64_t now_us)
 {
   struct load_gossip w;
   struct roster_row row;
@@ -321,7 +321,7 @@
 static void
 on_readable (void *arg, int fd, bool readable, bool writable)
 {
-  struct tell *t = arg;
+  struct loadgossip *t = arg;
   int64_t now = loop_now_us ();
   char buf[2048];
   apr_size_t len;
@@ -376,7 +376,7 @@
 }
 
 static void
-plan_list (struct tell *t, int64_t now_us)
+plan_list (struct loadgossip *t, int64_t now_us)
 {
   loop_arm (t->opts.loop, &t->list,
             now_us + t->list_pause_us / 2
@@ -385,7 +385,8 @@
 }
 
 static void
-take_listed (struct tell *t, const struct roster_row *row, int64_t now_us)
+take_listed (struct loadgossip *t, const struct roster_row *row,
+             int64_t now_us)
 {
   struct listener *l = note_vm (t, row, "list", now_us);
 
@@ -401,7 +402,7 @@
 
 /* Whoever comes first for a row removes it, so that not all VMs do. */
 static void
-remove_row (struct tell *t, const struct listener *l)
+remove_row (struct loadgossip *t, const struct listener *l)
 {
   const struct roster_ops *o = &t->opts.ops;
   uint64_t key = XXH3_64bits (l->row.vm, strlen (l->row.vm));
@@ -415,7 +416,7 @@
 
 /* What the list that was read says of VMs that are gone. */
 static void
-take_absent (struct tell *t)
+take_absent (struct loadgossip *t)
 {
   struct listener *l;
   int i;
@@ -438,7 +439,7 @@
 
 /* VMs that share the rates of endpoints. */
 static int
-count_listed (const struct tell *t)
+count_listed (const struct loadgossip *t)
 {
   const struct listener *l;
   int n = t->listed;
@@ -455,7 +456,7 @@
 static void
 on_list (void *arg, const GArray *list)
 {
-  struct tell *t = arg;
+  struct loadgossip *t = arg;
   int64_t now = loop_now_us ();
   int before = count_listed (t);
   guint i;
@@ -477,7 +478,7 @@
 }
 
 static void
-read_list (struct tell *t)
+read_list (struct loadgossip *t)
 {
   t->calls++;
   t->opts.ops.read (t->opts.ops.ctx, on_list, t);
@@ -486,7 +487,7 @@
 static void
 on_written (void *arg, bool written)
 {
-  struct tell *t = arg;
+  struct loadgossip *t = arg;
   gint32 again = (gint32)WRITE_AGAIN_US;
 
   t->calls--;
@@ -503,7 +504,7 @@
 }
 
 static void
-write_row (struct tell *t)
+write_row (struct loadgossip *t)
 {
   t->calls++;
   t->opts.ops.write (t->opts.ops.ctx, &t->self, on_written, t);
@@ -514,7 +515,7 @@
 static void
 on_list_due (void *arg, int64_t now_us)
 {
-  struct tell *t = arg;
+  struct loadgossip *t = arg;
 
   (void)now_us;
   if (t->written && t->list_pause_us < LIST_MAX_US)
@@ -524,7 +525,7 @@
 }
 
 void
-loadgossip_store_restored (struct tell *t, int64_t now_us)
+loadgossip_store_restored (struct loadgossip *t, int64_t now_us)
 {
   t->written = false;
   t->outdated = t->calls > 0;
@@ -544,7 +545,7 @@
 /* Listed VMs that come before this one for KEY.  A VM that only spoke does not
    count: whoever sends datagrams could take duties away. */
 static int
-rank_for (const struct tell *t, uint64_t key)
+rank_for (const struct loadgossip *t, uint64_t key)
 {
   uint64_t own = score (t->self.vm, key);
   const struct listener *l;
@@ -560,7 +561,7 @@
 }
 
 int
-loadgossip_cold_share (const struct tell *t, uint64_t endpoint, int rate)
+loadgossip_cold_share (const struct loadgossip *t, uint64_t endpoint, int rate)
 {
   if (!t->listed)
     return 0;
@@ -568,7 +569,7 @@
 }
 
 int64_t
-loadgossip_limit_interval (const struct tell *t, uint64_t endpoint,
+loadgossip_limit_interval (const struct loadgossip *t, uint64_t endpoint,
                            int64_t milli, int64_t clock_ms)
 {
   int vms = count_listed (t);
@@ -587,23 +588,23 @@
 }
 
 bool
-loadgossip_ranks_within (const struct tell *t, uint64_t key, int places)
+loadgossip_ranks_within (const struct loadgossip *t, uint64_t key, int places)
 {
   return !t->listed || rank_for (t, key) < places;
 }
 
 bool
-loadgossip_ranks_first (const struct tell *t, uint64_t key)
+loadgossip_ranks_first (const struct loadgossip *t, uint64_t key)
 {
   return t->listed && rank_for (t, key) == 0;
 }
 
 /* --- life ------------------------------------------------------------ */
 
-struct tell *
+struct loadgossip *
 loadgossip_new (const struct loadgossip_opts *opts)
 {
-  struct tell *t = g_new0 (struct tell, 1);
+  struct loadgossip *t = g_new0 (struct loadgossip, 1);
 
   t->opts = *opts;
   t->rand = g_rand_new_with_seed ((guint32)opts->seed);
@@ -634,7 +635,7 @@
 }
 
 void
-loadgossip_stop (struct tell *t)
+loadgossip_stop (struct loadgossip *t)
 {
   t->stopped = true;
   loop_disarm (&t->say);
@@ -642,13 +643,13 @@
 }
 
 int
-loadgossip_waiting (const struct tell *t)
+loadgossip_waiting (const struct loadgossip *t)
 {
   return t->calls;
 }
 
 void
-loadgossip_free (struct tell *t)
+loadgossip_free (struct loadgossip *t)
 {
   if (t->watch != NULL)
     loop_remove_fd (t->opts.loop, t->watch);
--- a/loadgossip.h
+++ b/loadgossip.h
@@ -65,37 +65,40 @@
   uint64_t seed;         /* of pauses */
 };
 
-struct tell;
+struct loadgossip;
 
 /* NULL if the address cannot be had. */
-struct tell *loadgossip_new (const struct loadgossip_opts *opts);
+struct loadgossip *loadgossip_new (const struct loadgossip_opts *opts);
 /* This VM's work at an endpoint changed: the others hear within some ms. */
-void loadgossip_load_changed (struct tell *t, int64_t now_us);
+void loadgossip_load_changed (struct loadgossip *t, int64_t now_us);
 /* The platform's store came back from an older copy, which may lack this VM's
    row. */
-void loadgossip_store_restored (struct tell *t, int64_t now_us);
+void loadgossip_store_restored (struct loadgossip *t, int64_t now_us);
 /* Send a datagram of another kind to the VMs that are told. */
-void loadgossip_send (struct tell *t, const GByteArray *datagram);
+void loadgossip_send (struct loadgossip *t, const GByteArray *datagram);
 /* Tell and ask nothing more. */
-void loadgossip_stop (struct tell *t);
-void loadgossip_free (struct tell *t);
+void loadgossip_stop (struct loadgossip *t);
+void loadgossip_free (struct loadgossip *t);
 /* This VM's part of the RATE of requests that the cold endpoint with key
    ENDPOINT bears from all VMs, by the list of VMs on the platform; 0 as long
    as this VM has not seen itself there. */
-int loadgossip_cold_share (const struct tell *t, uint64_t endpoint, int rate);
+int loadgossip_cold_share (const struct loadgossip *t, uint64_t endpoint,
+                           int rate);
 /* Time between this VM's requests to the endpoint with key ENDPOINT, which
    takes MILLI in 1000 s from all VMs, by the same list and CLOCK_MS, the
    platform's clock; 0 if this VM has no part now. */
-int64_t loadgossip_limit_interval (const struct tell *t, uint64_t endpoint,
-                                   int64_t milli, int64_t clock_ms);
+int64_t loadgossip_limit_interval (const struct loadgossip *t,
+                                   uint64_t endpoint, int64_t milli,
+                                   int64_t clock_ms);
 /* Whether this VM is among the PLACES that come first, of those that the
    platform lists, for what has digest KEY; true while it knows no list. */
-bool loadgossip_ranks_within (const struct tell *t, uint64_t key, int places);
+bool loadgossip_ranks_within (const struct loadgossip *t, uint64_t key,
+                              int places);
 /* Whether this VM comes first, of those that the platform lists, for what has
    digest KEY. */
-bool loadgossip_ranks_first (const struct tell *t, uint64_t key);
+bool loadgossip_ranks_first (const struct loadgossip *t, uint64_t key);
 /* Calls to the platform under way. */
-int loadgossip_waiting (const struct tell *t);
+int loadgossip_waiting (const struct loadgossip *t);
 
 /* A word as it is sent, and read; pure.  FALSE if the bytes are none. */
 GByteArray *loadgossip_encode (const struct load_gossip *w);
