--- a/follow.c
+++ b/follow.c
@@ -1,4 +1,4 @@
-/* Following what the platform says. */
+/* Follows the state that the platform stores, by long polls. */
 #include "follow.h"
 
 #include <string.h>
@@ -9,52 +9,55 @@
 #include "met.h"
 
 /*
- * Longest poll.  The wait is also how old knowledge gets in calm: it must stay
- * well under the bound past which keys count for nothing (seconds), and under
- * the one past which nothing is denied.
+ * Longest wait of a poll. While nothing changes, the settings also get this
+ * old. So it must stay well under the age at which API keys are no longer
+ * accepted (seconds), and under the age at which requests are no longer denied
+ * by the settings.
  */
 #define OPERATOR_WAIT_US (2200 * CQ_US_PER_MS)
-/* Shortest poll, after an answer that took so long that its news was old when
-   it came: one without a wait would say no more, and might be sent at once
-   again. */
+/* Shortest wait of a poll, used after a reply that took so long that its
+ * content was old when it arrived. A poll without a wait would report nothing
+ * more, and might be repeated immediately. */
 #define OPERATOR_WAIT_MIN_US (100 * CQ_US_PER_MS)
 #define ENDPOINTS_WAIT_US (2000 * CQ_US_PER_MS)
-/* For an answer to begin, over the wait: sixty times the platform's usual
-   4 ms, twice.  With the wait, a poll that is lost is over after 2.7 s at
-   most, and two or three more before knowledge is too old for keys. */
-#define ANSWER_US (500 * CQ_US_PER_MS)
+/* Time for a reply to begin, in addition to the wait: twice sixty times the
+ * platform's usual 4 ms. With the wait, a lost poll ends after at most 2.7 s,
+ * and two or three more fit in before the settings are too old to accept keys.
+ */
+#define REPLY_BEGIN_US (500 * CQ_US_PER_MS)
 /*
- * Some of 145 endpoints changes its entry every quarter of a second, and each
- * change ended a poll of each VM: 375 calls a second from 78 VMs.  What
- * changed a second ago is soon enough: an endpoint that leaves goes on for
- * two seconds and more.
+ * Minimum interval between the starts of two polls for endpoints. With 145
+ * endpoints some entry changes every quarter of a second, and each change
+ * ended a poll of each VM: 375 calls a second from 78 VMs. It is enough to
+ * learn of a change within a second, since an endpoint that is leaving
+ * continues to work for at least two seconds.
  */
-#define ENDPOINTS_GAP_US (1000 * CQ_US_PER_MS)
-#define READ_US (900 * CQ_US_PER_MS)
+#define ENDPOINTS_INTERVAL_US (1000 * CQ_US_PER_MS)
+#define READ_BEGIN_US (900 * CQ_US_PER_MS)
 /*
- * Without a further byte of an answer that has begun.  On a link of 10 Mbit/s
- * 4 KB take 3 ms, and ten times that where requests crowd it; a packet that is
- * lost comes again after 200 ms.
+ * Longest pause between two bytes of a reply that has begun. On a link of 10
+ * Mbit/s 4 KB take 3 ms, and ten times that when the link is crowded with
+ * requests; a lost packet is retransmitted after 200 ms.
  */
 #define STALL_US (500 * CQ_US_PER_MS)
 /*
- * Taken of an answer.  A route takes some 300 bytes on the wire.  The time on
- * a small link bounds an answer, not memory.
+ * Size limit of a reply. A route takes some 300 bytes on the wire. The limit
+ * is due to the transfer time on a small link, not to memory.
  */
-#define ANSWER_MAX_BYTES 4194304
+#define REPLY_MAX_BYTES 4194304
 /*
- * Read of an answer in one turn of the loop.  Thousands of routes read at once
- * would hold the loop for most of a second on a small VM, and callers that
- * hang up meanwhile would be seen too late.
+ * Pieces of a reply parsed in one iteration of the event loop. Parsing
+ * thousands of routes at once would block the loop for most of a second on a
+ * small VM, and callers that hang up meanwhile would be noticed too late.
  */
-#define STEP_PIECES 40
-/* The smallest VMs' link, 10 Mbit/s, of which requests may take half. */
+#define PIECES_PER_TURN 40
+/* Link of the smallest VMs, 10 Mbit/s, of which requests may take half. */
 #define LINK_MIN_BYTES_S (10 * 1000 * 1000 / 8 / 2)
-/* For a whole answer: 6.7 s.  What trickles in for longer is given up. */
-#define WHOLE_US (ANSWER_MAX_BYTES * CQ_US_PER_S / LINK_MIN_BYTES_S)
-/* Pauses after a failed call, doubled up to the longest, with as much again
-   at random: all VMs lose the platform at one moment, and must not return at
-   one moment. */
+/* Time for a whole reply: 6.7 s. A reply that takes longer is abandoned. */
+#define REPLY_TOTAL_US (REPLY_MAX_BYTES * CQ_US_PER_S / LINK_MIN_BYTES_S)
+/* Backoff after a failed call, doubled up to the maximum, with a random
+ * addition of up to the same length: all VMs lose the platform at the same
+ * moment, and must not all return at the same moment. */
 #define PAUSE_FIRST_US (60 * CQ_US_PER_MS)
 #define PAUSE_MAX_US (500 * CQ_US_PER_MS)
 /* Entries of live endpoints lapse only after an outage longer than this. */
@@ -65,43 +68,44 @@
   [FOLLOW_ENDPOINTS] = "endpoints",
 };
 
-/* As the log names what became of a call. */
-static const char *const lost_names[] = {
+/* Names of failures in the log. */
+static const char *const failure_names[] = {
   [FOLLOW_REFUSED] = "refused",     [FOLLOW_NO_REPLY] = "silent",
   [FOLLOW_STALLED] = "stalled",     [FOLLOW_INCOMPLETE] = "broken",
   [FOLLOW_TOO_LARGE] = "too_large", [FOLLOW_MALFORMED] = "unreadable",
 };
 
-/* Between the starts of two polls. */
-static const int64_t gaps[FOLLOW_SOURCES] = {
+/* Minimum interval between the starts of two polls. */
+static const int64_t min_intervals_us[FOLLOW_SOURCES] = {
   [FOLLOW_OPERATOR] = 0,
-  [FOLLOW_ENDPOINTS] = ENDPOINTS_GAP_US,
+  [FOLLOW_ENDPOINTS] = ENDPOINTS_INTERVAL_US,
 };
 
 /* One source that is followed. */
 struct stream
 {
-  struct follow *follow;        /* whose */
-  enum follow_source source;    /* which */
-  bool known;                   /* read once, and history goes on from there */
-  int64_t version;              /* to ask for changes after */
-  int64_t era;                  /* that version is of */
-  int64_t asked_us;             /* when the call under way was sent */
-  bool reading;                 /* that call reads all */
-  int64_t lost_us;              /* calls fail since then; 0 if they do not */
-  enum follow_status lost_code; /* how the last one failed, as logged */
-  int64_t pause_us;             /* after the next failure */
-  struct loop_timer timer;      /* ends a pause */
-  bool busy;                    /* a call is under way */
+  struct follow *follow;     /* owner */
+  enum follow_source source; /* what is followed */
+  bool synced;        /* read as a whole; polls for changes may follow */
+  int64_t version;    /* version to poll for changes after */
+  int64_t era;        /* era of that version */
+  int64_t sent_us;    /* when the call in progress was sent */
+  bool full_read;     /* that call reads the whole state */
+  int64_t failing_us; /* calls have failed since then; 0 if they succeed */
+  enum follow_status failure; /* status of the last failure that was logged */
+  int64_t pause_us;           /* backoff after the next failure */
+  struct loop_timer timer;    /* starts the next call */
+  bool busy;                  /* a call is in progress */
 };
 
-#define MARKS 16 /* some ten seconds of answers from both sources */
+#define VERSION_TIMES_MAX                                                     \
+  16 /* some ten seconds of replies from both sources */
 
-/* A moment at which the platform had made no change after CHANGE. */
-struct mark
+/* A time at which CHANGE was still the platform's newest change. */
+struct version_time
 {
-  int64_t change; /* number of the newest one */
-  int64_t at_us;  /* that was so then, at the earliest */
+  int64_t change; /* number of that change */
+  int64_t at_us;  /* lower bound of that time */
 };
 
 struct follow
@@ -109,21 +113,23 @@
   struct follow_opts opts;               /* as made */
   struct stream streams[FOLLOW_SOURCES]; /* by source */
   GRand *rand;                           /* for pauses */
-  struct mark marks[MARKS];              /* the newest, oldest first */
-  int nmarks;                            /* entries in marks */
-  int64_t era; /* of the platform's store, the newest seen; 0: unsaid */
-  int64_t clock_low_us; /* the platform's clock is so far behind, at least */
-  bool clock_known;     /* one reading was taken */
-  bool stopped;         /* asks nothing more */
+  struct version_time
+      version_times[VERSION_TIMES_MAX]; /* the newest ones, oldest first */
+  int nversion_times;                   /* entries in version_times */
+  int64_t era; /* newest era seen of the platform's store; 0: not given */
+  int64_t
+      clock_offset_us; /* lower bound of this VM's clock less the platform's */
+  bool clock_known;    /* clock_offset_us is set */
+  bool stopped;        /* no more calls are started */
 };
 
-static void ask (struct stream *s, int64_t now_us);
+static void start_call (struct stream *s, int64_t now_us);
 
-/* --- taking news ----------------------------------------------------- */
+/* --- applying replies ------------------------------------------------ */
 
 static void
-take_conf (struct fleet *f, const struct follow_reply *n,
-           struct follow_item *it, int64_t took_us)
+apply_conf (struct fleet *f, const struct follow_reply *n,
+            struct follow_item *it, int64_t took_us)
 {
   int64_t old = f->conf != NULL ? f->conf->version : 0;
   int64_t new = it->conf->version;
@@ -139,36 +145,39 @@
 }
 
 /*
- * Changes of both sources share one count, so an answer about either says of
- * each later change that it had not been made.
+ * Both sources share one change counter, so a reply about either source proves
+ * that all changes with higher numbers had not yet been made.
  */
 static void
-add_mark (struct follow *f, int64_t change, int64_t at_us)
+add_version_time (struct follow *f, int64_t change, int64_t at_us)
 {
-  struct mark m = { change, at_us };
+  struct version_time m = { change, at_us };
 
-  /* An answer that was overtaken says less than the one before it. */
-  if (f->nmarks > 0 && change < f->marks[f->nmarks - 1].change)
+  /* A reply that was overtaken by a newer one proves less than that one. */
+  if (f->nversion_times > 0
+      && change < f->version_times[f->nversion_times - 1].change)
     return;
-  if (f->nmarks == MARKS)
-    memmove (f->marks, f->marks + 1, sizeof m * (size_t)--f->nmarks);
-  f->marks[f->nmarks++] = m;
+  if (f->nversion_times == VERSION_TIMES_MAX)
+    memmove (f->version_times, f->version_times + 1,
+             sizeof m * (size_t)--f->nversion_times);
+  f->version_times[f->nversion_times++] = m;
 }
 
-/* CHANGE was not made before; 0 if that is not known. */
+/* Time before which CHANGE had not been made; 0 if that is not known. */
 static int64_t
 not_before (const struct follow *f, int64_t change)
 {
   int64_t at = 0;
   int i;
 
-  for (i = 0; i < f->nmarks && f->marks[i].change < change; i++)
-    at = MAX (at, f->marks[i].at_us);
+  for (i = 0; i < f->nversion_times && f->version_times[i].change < change;
+       i++)
+    at = MAX (at, f->version_times[i].at_us);
   return at;
 }
 
 static void
-take_wanted (struct follow *fl, const struct follow_item *it, int64_t now_us)
+apply_weights (struct follow *fl, const struct follow_item *it, int64_t now_us)
 {
   struct fleet *f = fl->opts.fleet;
   int64_t early = not_before (fl, it->row);
@@ -181,11 +190,11 @@
                (gint64)(early ? now_us - early : -1));
 }
 
-/* A life that is over may still write: its entry, held up on the way, stands
-   in the place of the next one's until that writes again. */
+/* A delayed write of an earlier incarnation may overwrite the entry of the
+ * current one, until the current one writes again. */
 static void
-log_other_life (const struct fleet_endpoint *e, const struct follow_item *it,
-                enum fleet_life life)
+log_stale_listing (const struct fleet_endpoint *e,
+                   const struct follow_item *it, enum fleet_life life)
 {
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=passed_over reason=life_%s source=list "
@@ -196,30 +205,31 @@
 }
 
 static void
-take_endpoint (struct fleet *f, const struct follow_item *it, int64_t now_us)
+apply_endpoint (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *old = g_hash_table_lookup (f->by_id, it->listing.id);
   enum fleet_life life = fleet_life_of (old, it->listing.born_ms);
-  bool again = old != NULL && life == FLEET_LIFE_YOUNGER;
+  bool restarted = old != NULL && life == FLEET_LIFE_YOUNGER;
   bool draining = old != NULL && old->draining;
-  bool cold = old != NULL && !again && cold_is (&old->cold, now_us);
+  bool cold = old != NULL && !restarted && cold_is (&old->cold, now_us);
   int64_t version = old != NULL ? old->version : 0;
   int64_t before = old != NULL ? old->is.born_ms : 0;
   struct fleet_endpoint *e;
 
   if (old != NULL && (life == FLEET_LIFE_OLDER || life == FLEET_LIFE_UNSAID))
     {
-      log_other_life (old, it, life);
+      log_stale_listing (old, it, life);
       return;
     }
   e = fleet_take_listing (f, &it->listing, now_us);
-  if (old == NULL || again || draining != e->draining || version != e->version)
+  if (old == NULL || restarted || draining != e->draining
+      || version != e->version)
     log_event (LOG_LEVEL_INFO, "endpoint",
                "endpoint=%s outcome=%s%s service=%s address=%s domain=%s "
                "version=%" G_GINT64_FORMAT " born_ms=%" G_GINT64_FORMAT
                " before_ms=%" G_GINT64_FORMAT
                " source=list row=%" G_GINT64_FORMAT,
-               e->is.id, again ? "started_again_" : "",
+               e->is.id, restarted ? "started_again_" : "",
                e->draining ? "draining" : "ready", e->is.service,
                e->is.address, e->is.domain, (gint64)e->version,
                (gint64)e->is.born_ms, (gint64)before, (gint64)it->row);
@@ -230,10 +240,11 @@
                e->is.id, e->is.domain, (gint64)e->is.cold_us, (gint64)it->row);
 }
 
-/* An entry that lapsed while the list could not be read is doubted first. */
+/* An entry that expired while the list could not be read is at first only
+ * doubted, not removed. */
 static void
-take_removed (struct fleet *f, struct fleet_endpoint *e, const char *reason,
-              int64_t now_us)
+apply_removed (struct fleet *f, struct fleet_endpoint *e, const char *reason,
+               int64_t now_us)
 {
   bool counts = fleet_missing_counts (f, now_us);
 
@@ -245,22 +256,23 @@
 }
 
 /*
- * Another writer's row, or bytes that cannot be read.  It names no endpoint,
- * so one that was listed in its place is listed no more; if it lives, it
- * writes again within a heartbeat.  All other rows count.
+ * An invalid row: written by another writer, or unparsable. It describes no
+ * endpoint, so the endpoint that was listed under its key is treated as
+ * removed; if it is alive, it writes its entry again within a heartbeat. All
+ * other rows of the reply are applied.
  */
 static void
-take_spoiled (struct fleet *f, const struct follow_item *it, int64_t now_us)
+apply_invalid (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (f->by_id, it->listing.id);
 
   if (e != NULL && e->missing_us == 0)
-    take_removed (f, e, "spoiled", now_us);
+    apply_removed (f, e, "spoiled", now_us);
 }
 
 static void
-take_item (struct stream *s, const struct follow_reply *n,
-           struct follow_item *it, int64_t now_us)
+apply_item (struct stream *s, const struct follow_reply *n,
+            struct follow_item *it, int64_t now_us)
 {
   struct fleet *f = s->follow->opts.fleet;
   struct fleet_endpoint *e;
@@ -268,19 +280,19 @@
   switch (it->kind)
     {
     case FOLLOW_ITEM_CONF:
-      take_conf (f, n, it, now_us - s->asked_us);
+      apply_conf (f, n, it, now_us - s->sent_us);
       it->conf = NULL;
       break;
     case FOLLOW_ITEM_WEIGHTS:
-      take_wanted (s->follow, it, now_us);
+      apply_weights (s->follow, it, now_us);
       break;
     case FOLLOW_ITEM_ENDPOINT:
-      take_endpoint (f, it, now_us);
+      apply_endpoint (f, it, now_us);
       break;
     case FOLLOW_ITEM_ENDPOINT_REMOVED:
       e = g_hash_table_lookup (f->by_id, it->listing.id);
       if (e != NULL)
-        take_removed (f, e, "entry_gone", now_us);
+        apply_removed (f, e, "entry_gone", now_us);
       break;
     case FOLLOW_ITEM_EVACUATION:
       evac_begin (f, it->domain, it->row);
@@ -289,13 +301,13 @@
       evac_end (f, it->domain, now_us);
       break;
     case FOLLOW_ITEM_INVALID:
-      take_spoiled (f, it, now_us);
+      apply_invalid (f, it, now_us);
       break;
     }
 }
 
 static bool
-is_in_news (const struct follow_reply *n, const char *id)
+is_in_reply (const struct follow_reply *n, const char *id)
 {
   const struct follow_item *it;
   guint i;
@@ -310,7 +322,7 @@
 }
 
 static bool
-is_evacuated_in_news (const struct follow_reply *n, const char *domain)
+is_evacuated_in_reply (const struct follow_reply *n, const char *domain)
 {
   const struct follow_item *it;
   guint i;
@@ -325,9 +337,11 @@
   return false;
 }
 
-/* Of the evacuations that a whole reading does not hold the end was missed. */
+/* End the evacuations that a full read did not return: their end was missed.
+ */
 static void
-take_readmitted (struct fleet *f, const struct follow_reply *n, int64_t now_us)
+end_unlisted_evacuations (struct fleet *f, const struct follow_reply *n,
+                          int64_t now_us)
 {
   const struct fleet_evacuation *v;
   int i;
@@ -335,14 +349,16 @@
   for (i = (int)f->evacuated->len - 1; i >= 0; i--)
     {
       v = &g_array_index (f->evacuated, struct fleet_evacuation, i);
-      if (!is_evacuated_in_news (n, v->domain))
+      if (!is_evacuated_in_reply (n, v->domain))
         evac_not_listed (f, v->domain, now_us);
     }
 }
 
-/* What a whole list does not hold was removed unseen. */
+/* Remove the endpoints that a full read did not return: their removal was
+ * missed. */
 static void
-take_absent (struct fleet *f, const struct follow_reply *n, int64_t now_us)
+remove_unlisted_endpoints (struct fleet *f, const struct follow_reply *n,
+                           int64_t now_us)
 {
   struct fleet_endpoint *e, *next;
 
@@ -350,41 +366,43 @@
        e != APR_RING_SENTINEL (&f->endpoints, fleet_endpoint, link); e = next)
     {
       next = APR_RING_NEXT (e, link);
-      if (!is_in_news (n, e->is.id) && e->missing_us == 0)
-        take_removed (f, e, "not_listed", now_us);
+      if (!is_in_reply (n, e->is.id) && e->missing_us == 0)
+        apply_removed (f, e, "not_listed", now_us);
     }
 }
 
 /*
- * When what an answer says was current, at the earliest.  The platform's clock
- * in it says when it was given; a call that was sent at A and answered with
- * time M shows that M was not before A, so any other time can be placed.  Our
- * own send time would do too, but after a poll that waited for two seconds it
- * is two seconds old, and whoever may not use old knowledge has none.  Nothing
- * is of a time after the answer came, however long it took to read.
+ * Earliest time at which the content of a reply was current. The reply carries
+ * the platform's clock. A call that was sent at local time A and answered with
+ * platform time M proves that M is not before A; from that bound on the clock
+ * offset any other platform time is converted to local time. The local send
+ * time would also be a valid bound, but after a poll that waited for two
+ * seconds it is two seconds old, and code that must not use old settings would
+ * have none. The result is never after the arrival of the reply, however long
+ * the reply took to parse.
  */
 static int64_t
-current_at (struct follow *f, const struct stream *s,
-            const struct follow_reply *n)
+reply_current_at (struct follow *f, const struct stream *s,
+                  const struct follow_reply *n)
 {
   int64_t given_us = n->store_ms * CQ_US_PER_MS;
-  /* The clock's milliseconds are cut off. */
-  int64_t low = s->asked_us - given_us - CQ_US_PER_MS;
+  /* The platform's clock is truncated to milliseconds. */
+  int64_t low = s->sent_us - given_us - CQ_US_PER_MS;
 
   if (n->store_ms <= 0)
-    return s->asked_us;
-  /* A clock that jumped makes readings before it worthless. */
-  if (!f->clock_known || low > f->clock_low_us
-      || given_us + f->clock_low_us > n->received_us)
-    f->clock_low_us = low;
+    return s->sent_us;
+  /* Earlier readings are invalid after the platform's clock has jumped. */
+  if (!f->clock_known || low > f->clock_offset_us
+      || given_us + f->clock_offset_us > n->received_us)
+    f->clock_offset_us = low;
   f->clock_known = true;
-  return given_us + f->clock_low_us;
+  return given_us + f->clock_offset_us;
 }
 
-/* One line for all rows of an answer that were left out: rows that stay
-   spoiled come again with each whole list, however many they are. */
+/* Log one line for all invalid rows of a reply: rows that stay invalid are
+ * returned by each full read, however many they are. */
 static void
-log_spoiled (const struct stream *s, const struct follow_reply *n)
+log_invalid (const struct stream *s, const struct follow_reply *n)
 {
   const struct follow_item *it, *first = NULL;
   int count = 0;
@@ -410,44 +428,45 @@
 }
 
 static void
-take_news (struct stream *s, const struct follow_reply *n, int64_t now_us)
+apply_reply (struct stream *s, const struct follow_reply *n, int64_t now_us)
 {
-  int64_t at = current_at (s->follow, s, n);
+  int64_t at = reply_current_at (s->follow, s, n);
   struct fleet *f = s->follow->opts.fleet;
   guint i;
 
-  log_spoiled (s, n);
+  log_invalid (s, n);
   for (i = 0; i < n->items->len; i++)
-    take_item (s, n, &g_array_index (n->items, struct follow_item, i), now_us);
-  if (s->reading && s->source == FOLLOW_ENDPOINTS)
+    apply_item (s, n, &g_array_index (n->items, struct follow_item, i),
+                now_us);
+  if (s->full_read && s->source == FOLLOW_ENDPOINTS)
     {
-      take_absent (f, n, now_us);
+      remove_unlisted_endpoints (f, n, now_us);
       f->listed = true;
     }
-  if (s->reading && s->source == FOLLOW_OPERATOR)
-    take_readmitted (f, n, now_us);
+  if (s->full_read && s->source == FOLLOW_OPERATOR)
+    end_unlisted_evacuations (f, n, now_us);
   if (s->source == FOLLOW_OPERATOR)
     {
       f->fresh_us = at;
       fleet_wanted_current (f, at);
     }
-  add_mark (s->follow, n->version, at);
+  add_version_time (s->follow, n->version, at);
   if (n->version > s->version || s->era != s->follow->era)
     s->version = n->version;
   s->era = s->follow->era;
-  s->known = true;
+  s->synced = true;
 }
 
 /* --- eras ------------------------------------------------------------ */
 
 /*
- * The store came back from an older copy: versions went back, and are given
- * out again.  Going on after a version of the time before, this VM would miss
- * each change that bears a lower one: a key that was taken away would work for
- * good.  So all is read again, and nothing is concluded from versions of
- * before.  Entries that the copy lacks are doubted for a while, not gone:
- * endpoints write them again.  Settings older than those in force stay out by
- * the operators' own number.
+ * The store was restored from an older copy, so versions went back and are
+ * assigned again. If polls continued after a version of the previous era, this
+ * VM would miss each change with a lower version, and a revoked key would stay
+ * valid indefinitely. So everything is read again, and versions of the
+ * previous era are no longer used. Entries that the copy lacks are doubted for
+ * a while, not removed, since endpoints write them again. Settings older than
+ * those in force are rejected by the operators' own version number.
  */
 static void
 begin_era (struct follow *f, int64_t era, int64_t now_us)
@@ -461,20 +480,20 @@
                  " before=%" G_GINT64_FORMAT,
                  (gint64)era, (gint64)f->era);
       met_add (MET_OLDER_COPIES, 1);
-      f->nmarks = 0;
+      f->nversion_times = 0;
       f->opts.fleet->conf_row = 0;
       fleet_list_back (f->opts.fleet, now_us);
       for (i = 0; i < FOLLOW_SOURCES; i++)
-        f->streams[i].known = false;
+        f->streams[i].synced = false;
     }
   f->era = era;
 }
 
 /*
- * Whether what an answer says counts.  One of the time before, on a connection
- * that was slow, would bring back what is gone; one to a poll after a version
- * of the time before leaves out what lies between.  A store that says no era
- * has but one.
+ * Whether a reply may be applied. A delayed reply of the previous era would
+ * bring back state that is no longer stored; a reply to a poll after a version
+ * of the previous era omits the changes in between. A store that gives no era
+ * has only one.
  */
 static bool
 is_of_this_era (struct stream *s, const struct follow_reply *n, int64_t now_us)
@@ -483,7 +502,7 @@
 
   if (n->era > f->era)
     begin_era (f, n->era, now_us);
-  if ((n->era == f->era || n->era == 0) && (s->reading || s->era == f->era))
+  if ((n->era == f->era || n->era == 0) && (s->full_read || s->era == f->era))
     return true;
   log_event (LOG_LEVEL_INFO, "store_era",
              "source=%s outcome=passed_over era=%" G_GINT64_FORMAT
@@ -495,29 +514,30 @@
 /* --- calls ----------------------------------------------------------- */
 
 static void
-note_back (struct stream *s, int64_t now_us)
+handle_success (struct stream *s, int64_t now_us)
 {
-  if (s->lost_us == 0)
+  if (s->failing_us == 0)
     return;
   log_event (LOG_LEVEL_INFO, "platform",
              "source=%s outcome=regained lost_us=%" G_GINT64_FORMAT,
-             source_names[s->source], (gint64)(now_us - s->lost_us));
-  if (s->source == FOLLOW_ENDPOINTS && now_us - s->lost_us > OUTAGE_US)
+             source_names[s->source], (gint64)(now_us - s->failing_us));
+  if (s->source == FOLLOW_ENDPOINTS && now_us - s->failing_us > OUTAGE_US)
     fleet_list_back (s->follow->opts.fleet, now_us);
-  s->lost_us = 0;
+  s->failing_us = 0;
   s->pause_us = PAUSE_FIRST_US;
 }
 
 /*
- * Whether the next call may be a poll again.  A poll tells all changes after
- * a version, or that it cannot, so one that stayed without its answer takes
- * nothing away; reading the settings again would cost each VM 1.6 MB and more
- * than a second of a small link after each moment of silence.  An answer that
- * was too large may be smaller as a whole read, which holds each row once.
- * Entries of endpoints lapse in an outage: only their whole list tells.
+ * Whether the next call may be a poll again. A poll returns all changes after
+ * a version or reports that it cannot, so nothing is lost if one stays
+ * unanswered. Reading all settings again would cost each VM 1.6 MB, more than
+ * a second of a small link, after each short outage. If the reply to a poll
+ * was too large, a full read may be smaller, since it holds each row once.
+ * Entries of endpoints expire during an outage, and only a full read shows
+ * which.
  */
 static bool
-may_go_on (const struct stream *s, enum follow_status code)
+may_poll_again (const struct stream *s, enum follow_status code)
 {
   return s->source == FOLLOW_OPERATOR
          && (code == FOLLOW_NO_REPLY || code == FOLLOW_STALLED
@@ -525,22 +545,22 @@
 }
 
 static void
-note_lost (struct stream *s, const struct follow_reply *n, int64_t now_us)
+handle_failure (struct stream *s, const struct follow_reply *n, int64_t now_us)
 {
-  /* What keeps an outage going may not be what began it. */
-  if (s->lost_us == 0 || s->lost_code != n->status)
+  /* The cause of an outage may change while it lasts. */
+  if (s->failing_us == 0 || s->failure != n->status)
     {
       log_event (LOG_LEVEL_WARNING, "platform",
                  "source=%s outcome=lost reason=%s bytes=%" G_GINT64_FORMAT
                  " took_us=%" G_GINT64_FORMAT,
-                 source_names[s->source], lost_names[n->status],
-                 (gint64)n->bytes, (gint64)(now_us - s->asked_us));
-      s->lost_code = n->status;
+                 source_names[s->source], failure_names[n->status],
+                 (gint64)n->bytes, (gint64)(now_us - s->sent_us));
+      s->failure = n->status;
     }
-  /* It may have been gone since the call was sent. */
-  if (s->lost_us == 0)
-    s->lost_us = s->asked_us;
-  s->known = s->known && may_go_on (s, n->status);
+  /* The outage may have begun when the call was sent. */
+  if (s->failing_us == 0)
+    s->failing_us = s->sent_us;
+  s->synced = s->synced && may_poll_again (s, n->status);
   loop_arm (s->follow->opts.loop, &s->timer,
             now_us + s->pause_us
                 + (int64_t)g_rand_int_range (s->follow->rand, 0,
@@ -550,7 +570,7 @@
 }
 
 static void
-on_news (void *arg, const struct follow_reply *n)
+on_reply (void *arg, const struct follow_reply *n)
 {
   struct stream *s = arg;
   struct follow *f = s->follow;
@@ -563,29 +583,30 @@
     {
       if (n->era > f->era)
         begin_era (f, n->era, now);
-      s->known = false;
-      ask (s, now);
+      s->synced = false;
+      start_call (s, now);
       return;
     }
   if (n->status != FOLLOW_OK)
     {
-      note_lost (s, n, now);
+      handle_failure (s, n, now);
       return;
     }
   if (!is_of_this_era (s, n, now))
     {
-      s->known = false;
+      s->synced = false;
       loop_arm (f->opts.loop, &s->timer, now + PAUSE_FIRST_US);
       return;
     }
-  note_back (s, now);
-  take_news (s, n, now);
+  handle_success (s, now);
+  apply_reply (s, n, now);
   if (f->opts.on_change != NULL)
     f->opts.on_change (f->opts.arg, now);
-  if (s->reading || now - s->asked_us >= gaps[s->source])
-    ask (s, now);
+  if (s->full_read || now - s->sent_us >= min_intervals_us[s->source])
+    start_call (s, now);
   else
-    loop_arm (f->opts.loop, &s->timer, s->asked_us + gaps[s->source]);
+    loop_arm (f->opts.loop, &s->timer,
+              s->sent_us + min_intervals_us[s->source]);
 }
 
 int64_t
@@ -597,18 +618,18 @@
 int64_t
 follow_clock_ms (const struct follow *f, int64_t now_us)
 {
-  return f->clock_known ? (now_us - f->clock_low_us) / CQ_US_PER_MS : 0;
+  return f->clock_known ? (now_us - f->clock_offset_us) / CQ_US_PER_MS : 0;
 }
 
 int64_t
 follow_poll_wait_us (int64_t current_us, int64_t age_us)
 {
-  return CLAMP (current_us - ANSWER_US - age_us, OPERATOR_WAIT_MIN_US,
+  return CLAMP (current_us - REPLY_BEGIN_US - age_us, OPERATOR_WAIT_MIN_US,
                 OPERATOR_WAIT_US);
 }
 
 static int64_t
-wait_of (const struct stream *s, int64_t now_us)
+poll_wait_us (const struct stream *s, int64_t now_us)
 {
   const struct follow_opts *o = &s->follow->opts;
 
@@ -618,34 +639,34 @@
 }
 
 static void
-ask (struct stream *s, int64_t now_us)
+start_call (struct stream *s, int64_t now_us)
 {
   const struct follow_ops *o = &s->follow->opts.ops;
   struct follow_limits l = { .stall_us = STALL_US };
-  int64_t wait = wait_of (s, now_us);
+  int64_t wait = poll_wait_us (s, now_us);
 
   if (s->busy || s->follow->stopped)
     return;
   s->busy = true;
-  s->asked_us = now_us;
-  s->reading = !s->known;
-  l.first_byte_us = s->reading ? READ_US : wait + ANSWER_US;
-  l.total_us = l.first_byte_us + WHOLE_US;
-  l.bytes_max = ANSWER_MAX_BYTES;
-  l.pieces_per_turn = STEP_PIECES;
-  if (s->reading)
-    o->read (o->ctx, s->source, &l, on_news, s);
+  s->sent_us = now_us;
+  s->full_read = !s->synced;
+  l.first_byte_us = s->full_read ? READ_BEGIN_US : wait + REPLY_BEGIN_US;
+  l.total_us = l.first_byte_us + REPLY_TOTAL_US;
+  l.bytes_max = REPLY_MAX_BYTES;
+  l.pieces_per_turn = PIECES_PER_TURN;
+  if (s->full_read)
+    o->read (o->ctx, s->source, &l, on_reply, s);
   else
-    o->changes (o->ctx, s->source, s->version, wait, &l, on_news, s);
+    o->changes (o->ctx, s->source, s->version, wait, &l, on_reply, s);
 }
 
 static void
 on_timer (void *arg, int64_t now_us)
 {
-  ask (arg, now_us);
+  start_call (arg, now_us);
 }
 
-/* --- life ------------------------------------------------------------ */
+/* --- lifecycle ------------------------------------------------------- */
 
 struct follow *
 follow_new (const struct follow_opts *opts)
@@ -672,7 +693,7 @@
   int i;
 
   for (i = 0; i < FOLLOW_SOURCES; i++)
-    ask (&f->streams[i], loop_now_us ());
+    start_call (&f->streams[i], loop_now_us ());
 }
 
 void
--- a/follow.h
+++ b/follow.h
@@ -1,6 +1,7 @@
 /*
- * Following what the platform says: the operators' configuration and weight
- * versions, and the list of endpoints, each by long polls for changes.
+ * Follows the state that the platform stores: the operators' configuration and
+ * weight versions, and the list of endpoints. Each is read once as a whole and
+ * then kept current by long polls for changes.
  */
 #ifndef CQ_FOLLOW_H
 #define CQ_FOLLOW_H
@@ -8,7 +9,7 @@
 #include "fleet.h"
 #include "loop.h"
 
-/* What there is to follow. */
+/* Sources that are followed. */
 enum follow_source
 {
   FOLLOW_OPERATOR,  /* configuration and weight versions */
@@ -23,69 +24,72 @@
   FOLLOW_ITEM_ENDPOINT,         /* an endpoint is listed */
   FOLLOW_ITEM_ENDPOINT_REMOVED, /* an endpoint's entry was removed */
   FOLLOW_ITEM_EVACUATION,       /* the operator evacuates a failure domain */
-  FOLLOW_ITEM_EVACUATION_END,   /* and took that back */
-  FOLLOW_ITEM_INVALID /* a row of the operator's or an endpoint's says nothing
-                  that can be used */
+  FOLLOW_ITEM_EVACUATION_END,   /* the operator ended the evacuation */
+  FOLLOW_ITEM_INVALID /* a row of the operator's or an endpoint's is invalid */
 };
 
-/* One thing the platform says. */
+/* One row of a reply. */
 struct follow_item
 {
-  enum follow_item_kind kind;   /* which of the fields below count */
-  int64_t row;                  /* change that brought it; grows */
-  struct fleet_conf *conf;      /* taken over by the receiver */
-  char model[FLEET_NAME_SIZE];  /* whose weights */
-  int64_t version;              /* of these weights */
-  struct fleet_listing listing; /* endpoint; only its id if it was removed or
-                                   spoiled; "" if the row is none */
-  char domain[FLEET_NAME_SIZE]; /* evacuated, or no longer */
-  const char *error;            /* what is wrong with a spoiled row */
+  enum follow_item_kind kind; /* decides which of the fields below are set */
+  int64_t row;                /* number of the change that wrote it; grows */
+  struct fleet_conf
+      *conf; /* the receiver takes ownership and sets it to NULL */
+  char model[FLEET_NAME_SIZE]; /* whose weights */
+  int64_t version;             /* of these weights */
+  struct fleet_listing
+      listing; /* endpoint; only its id if the row was removed or is invalid;
+                  "" if the row names no endpoint */
+  char domain[FLEET_NAME_SIZE]; /* whose evacuation began or ended */
+  const char *error;            /* what is wrong with an invalid row */
 };
 
 enum follow_status
 {
   FOLLOW_OK,
-  FOLLOW_HISTORY_LOST, /* changes since then are not to be had: read all */
-  FOLLOW_REFUSED,      /* over a rate, or turned away */
-  FOLLOW_NO_REPLY,     /* no byte of an answer */
-  FOLLOW_STALLED,      /* part of one, and then no byte for too long */
-  FOLLOW_INCOMPLETE, /* part of one, that ended or took too long as a whole */
-  FOLLOW_TOO_LARGE,  /* an answer over the limit of size */
-  FOLLOW_MALFORMED   /* a whole one that says nothing that is known */
+  FOLLOW_HISTORY_LOST, /* changes since then are no longer available: read all
+                        */
+  FOLLOW_REFUSED,      /* refused: rate limited or overloaded */
+  FOLLOW_NO_REPLY,     /* no byte of a reply */
+  FOLLOW_STALLED,      /* part of a reply, and then no byte for too long */
+  FOLLOW_INCOMPLETE, /* a reply that ended early or took too long as a whole */
+  FOLLOW_TOO_LARGE,  /* a reply over the size limit */
+  FOLLOW_MALFORMED   /* a complete reply that cannot be parsed */
 };
 
 struct follow_reply
 {
-  enum follow_status status; /* whether the rest counts */
-  int64_t era;         /* of the platform's store, 0 if unsaid; grows each time
-                          it comes back from an older copy */
-  int64_t version;     /* to ask for changes after, in that era */
-  int64_t store_ms;    /* the platform's clock at that moment, 0 if unsaid */
-  int64_t bytes;       /* of the answer, also of one that did not end */
-  int64_t received_us; /* when it, or its first page, had arrived */
+  enum follow_status status; /* the fields below are valid if FOLLOW_OK */
+  int64_t era; /* of the platform's store, 0 if not given; grows each time the
+                  store is restored from an older copy */
+  int64_t version;  /* version to poll for changes after, in that era */
+  int64_t store_ms; /* the platform's clock when it replied, 0 if not given */
+  int64_t bytes;    /* size of the reply, also of an incomplete one */
+  int64_t received_us; /* when the reply, or its first page, had arrived */
   GArray *items;       /* struct follow_item */
 };
 
 typedef void (*follow_done) (void *arg, const struct follow_reply *news);
 
-/* Limits of a call, or of each page of its answer. */
+/* Limits of a call, or of each page of its reply. */
 struct follow_limits
 {
-  int64_t first_byte_us; /* until the first byte of the answer */
-  int64_t stall_us;      /* without a further byte */
-  int64_t total_us;      /* for all of it */
-  size_t bytes_max;      /* taken of an answer */
-  int pieces_per_turn;   /* of it (routes, rows) that are read in one turn */
+  int64_t first_byte_us; /* until the first byte of the reply */
+  int64_t stall_us;      /* between two further bytes */
+  int64_t total_us;      /* for the whole reply */
+  size_t bytes_max;      /* size limit of a reply */
+  int pieces_per_turn; /* pieces (routes, rows) parsed in one loop iteration */
 };
 
-/* The platform, as an adapter offers it; DONE is always called, once. */
+/* The platform, as an adapter offers it. DONE is always called exactly once.
+ */
 struct follow_ops
 {
-  /* All there is now. */
+  /* Read the whole current state. */
   void (*read) (void *ctx, enum follow_source source,
                 const struct follow_limits *limits, follow_done done,
                 void *arg);
-  /* Changes after VERSION, waited for up to WAIT_US. */
+  /* Long poll: changes after VERSION, with a wait of up to WAIT_US. */
   void (*changes) (void *ctx, enum follow_source source, int64_t version,
                    int64_t wait_us, const struct follow_limits *limits,
                    follow_done done, void *arg);
@@ -95,31 +99,33 @@
 struct follow_opts
 {
   struct loop *loop;     /* whose thread runs it */
-  struct fleet *fleet;   /* beliefs to keep current */
+  struct fleet *fleet;   /* state to keep current */
   struct follow_ops ops; /* adapter */
-  uint64_t seed;         /* of pauses */
-  /* Knowledge of the operators' settings stays younger than this in calm. */
+  uint64_t seed;         /* for randomized pauses */
+  /* Age below which the operators' settings are kept while the platform is
+   * reachable. */
   int64_t max_age_us;
-  /* Something changed in what was followed; may be NULL. */
+  /* Called after each reply that was applied; may be NULL. */
   void (*on_change) (void *arg, int64_t now_us);
-  void *arg; /* passed to changed */
+  void *arg; /* passed to on_change */
 };
 
 struct follow;
 
 struct follow *follow_new (const struct follow_opts *opts);
 void follow_start (struct follow *f);
-/* Ask nothing more; answers under way are dropped. */
+/* Start no more calls, and ignore replies to those in progress. */
 void follow_stop (struct follow *f);
 void follow_free (struct follow *f);
-/* How long a poll for the operators' changes may wait, by the age that their
-   knowledge has as it is sent and is to stay below. */
+/* How long a poll for the operators' changes may wait if the settings have age
+ * AGE_US when it is sent and must stay younger than CURRENT_US. */
 int64_t follow_poll_wait_us (int64_t current_us, int64_t age_us);
-/* The platform's clock, not behind it; 0 while no answer told it. */
+/* The platform's clock in milliseconds, never behind it; 0 until a reply has
+ * given it. */
 int64_t follow_clock_ms (const struct follow *f, int64_t now_us);
-/* Era of the platform's store, the newest seen; 0 if it says none. */
+/* Newest era of the platform's store that was seen; 0 if it gives none. */
 int64_t follow_era (const struct follow *f);
-/* Calls under way. */
+/* Calls in progress. */
 int follow_waiting (const struct follow *f);
 
 #endif
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -1,4 +1,4 @@
-/* Telling other VMs what this one has under way at endpoints. */
+/* Gossip of load between VMs, and the roster of VMs. */
 #include "loadgossip.h"
 
 #include <stdlib.h>
@@ -13,83 +13,89 @@
 #include "log.h"
 #include "met.h"
 
-/* Changes that come together go out together: a word is 2 ms on its way, and
-   reading a long prompt takes a hundred. */
-#define GATHER_US (5 * CQ_US_PER_MS)
-/* Between words without a change, while there is work and while there is
-   none; others forget what is 1.5 s old. */
-#define AGAIN_US (500 * CQ_US_PER_MS)
-#define IDLE_US (2000 * CQ_US_PER_MS)
+/* Delay before a change is sent, so that changes close together share one
+ * message. A message takes 2 ms to arrive, and the prefill of a long prompt
+ * takes 100 ms. */
+#define SEND_DELAY_US (5 * CQ_US_PER_MS)
+/* Interval between messages without a change, while there is work and while
+ * there is none. Receivers discard load that is older than 1.5 s. */
+#define RESEND_US (500 * CQ_US_PER_MS)
+#define IDLE_RESEND_US (2000 * CQ_US_PER_MS)
 /*
- * VMs that one speaks to, so that its cost does not grow with their number:
- * those of its own failure domain first.  Where there are more, endpoints of
- * the own domain are preferred, and so few others work there; if even that
- * domain has more, each VM hears a part of it, drawn by name, and takes it for
- * all.
+ * VMs that a VM sends its messages to, so that its cost does not grow with
+ * their number; those of its own failure domain come first. Where there are
+ * more VMs than this, endpoints of the own domain are preferred, so VMs of
+ * other domains have little work there. If the domain itself has more VMs than
+ * this, each VM receives messages of a part of them, selected by a hash of the
+ * names, and extrapolates from these.
  */
-#define LISTENERS_MAX 24
-/* A VM that was not heard for so long is told only now and then: it may be
-   gone for good, and nothing says so. */
-#define QUIET_US (6 * CQ_US_PER_S)
-#define QUIET_EVERY 8
-/* Between reads of the list, the first ones soon: all VMs start together.
-   Later ones only find VMs that never spoke. */
-#define LIST_FIRST_US (500 * CQ_US_PER_MS)
-#define LIST_MAX_US (60 * CQ_US_PER_S)
-/* All VMs write their rows again after an older copy, spread over this time.
- */
-#define REWRITE_US (2 * CQ_US_PER_S)
-/* Reads of the list, a longest pause apart, in which a VM has not written its
-   row: it has no share in duties then, and later the row is removed.  Live VMs
-   write before each such read. */
-#define ABSENT_READS 5
-#define GONE_READS 10
-/* A row that could not be written is written again after half to one and a
-   half times this. */
-#define WRITE_AGAIN_US (500 * CQ_US_PER_MS)
-/* VMs that are known; names cost a sender nothing. */
+#define RECIPIENTS_MAX 24
+/* A VM that has been silent for this long gets only every SILENT_SEND_EVERY-th
+ * message: it may no longer exist, and nothing reports that. */
+#define SILENT_US (6 * CQ_US_PER_S)
+#define SILENT_SEND_EVERY 8
+/* Pause between reads of the roster, doubled up to the longest. The first
+ * reads follow soon, since all VMs start together; later ones only find VMs
+ * that never sent a message. */
+#define LIST_PAUSE_FIRST_US (500 * CQ_US_PER_MS)
+#define LIST_PAUSE_MAX_US (60 * CQ_US_PER_S)
+/* After the store was restored from an older copy all VMs write their rows
+ * again; their writes are spread over this time. */
+#define RESTORE_SPREAD_US (2 * CQ_US_PER_S)
+/* Consecutive reads of the roster, the longest pause apart, in which a VM has
+ * not written its row. After the first number the VM is left out when work and
+ * rates are divided; after the second its row is removed. Live VMs write
+ * before each such read. */
+#define INACTIVE_READS 5
+#define EXPIRED_READS 10
+/* A failed write of the row is retried after 0.5 to 1.5 times this. */
+#define WRITE_RETRY_US (500 * CQ_US_PER_MS)
+/* Limit of known VMs: anybody can send datagrams with any number of invented
+ * names. */
 #define VMS_MAX 4096
-/* Datagrams taken in one turn of the loop. */
-#define TAKE_MAX 64
+/* Datagrams received in one iteration of the event loop. */
+#define DATAGRAMS_PER_TURN 64
 
 /* Another VM. */
-struct listener
+struct peer
 {
-  struct roster_row row; /* as listed, or as it spoke */
+  struct roster_row row; /* as listed, or from its first message */
   apr_sockaddr_t *to;    /* its address */
-  bool near;             /* in this VM's failure domain: told first */
-  uint64_t rank;         /* by rendezvous with this VM: the lowest are told */
-  int64_t heard_us;      /* it spoke last; 0 for never */
-  int64_t listed_us;     /* it came into the list here */
-  bool listed;           /* the platform listed it; else it only spoke */
-  bool in_list;          /* the last list that was read holds it */
-  struct roster_age age; /* of its row; with listed */
+  bool near;             /* in this VM's failure domain: gets messages first */
+  uint64_t rank; /* rendezvous hash with this VM; the lowest get messages */
+  int64_t received_us; /* time of its last message; 0 for never */
+  int64_t listed_us;   /* when this VM added it */
+  bool
+      listed; /* it was in the roster; otherwise only its messages are known */
+  bool in_list;          /* it is in the roster that was read last */
+  struct roster_age age; /* of its row; valid if listed */
 };
 
 struct loadgossip
 {
-  struct loadgossip_opts opts; /* as made */
-  apr_pool_t *pool;            /* of sockets and addresses */
-  apr_socket_t *sock;          /* bound */
-  int fd;                      /* the same */
-  struct loop_fd *watch;       /* in the loop */
-  struct roster_row self;      /* as written */
-  GPtrArray *listeners;        /* struct listener, lowest rank first */
-  struct load_gossip word;     /* as sent last */
-  struct loop_timer say;       /* next word */
-  struct loop_timer list;      /* next read of the list */
-  int64_t list_pause_us;       /* after the next read */
-  GRand *rand;                 /* for pauses */
-  bool written;                /* our own row stands */
-  bool listed;                 /* the list that was read holds it */
-  bool outdated;               /* the write under way is of the era before */
-  bool stopped;                /* tells and asks nothing more */
-  int calls;                   /* to the platform, under way */
+  struct loadgossip_opts opts;  /* as made */
+  apr_pool_t *pool;             /* of sockets and addresses */
+  apr_socket_t *sock;           /* bound */
+  int fd;                       /* its descriptor */
+  struct loop_fd *watch;        /* registration with the loop */
+  struct roster_row self;       /* this VM's row, as written */
+  GPtrArray *peers;             /* struct peer, sorted by_rank */
+  struct load_gossip message;   /* sent last */
+  struct loop_timer send_timer; /* sends the next message */
+  struct loop_timer list;       /* starts the next read of the roster */
+  int64_t list_pause_us;        /* after the next read */
+  GRand *rand;                  /* for pauses */
+  bool written;                 /* this VM's row is on the platform */
+  bool listed;                  /* it is in a roster that was read */
+  bool write_outdated; /* the write in progress began before the store was
+                          restored */
+  bool stopped;        /* sends no messages and starts no calls */
+  int calls;           /* to the platform, in progress */
 };
 
 /* --- addresses ------------------------------------------------------- */
 
-/* APR's parser refuses port 0. */
+/* APR's own parser of addresses rejects port 0. */
 static apr_sockaddr_t *
 address_of (struct loadgossip *t, const char *text)
 {
@@ -100,7 +106,7 @@
   if (colon == NULL)
     return NULL;
   host = g_strndup (text, (gsize)(colon - text));
-  /* A name would be looked up, and hold the loop up. */
+  /* A host name would need a DNS lookup, which blocks the loop. */
   if (!g_hostname_is_ip_address (host)
       || apr_sockaddr_info_get (&sa, host, APR_UNSPEC,
                                 (apr_port_t)atoi (colon + 1), 0, t->pool)
@@ -137,8 +143,8 @@
 static int
 by_rank (gconstpointer a, gconstpointer b)
 {
-  const struct listener *const *la = a;
-  const struct listener *const *lb = b;
+  const struct peer *const *la = a;
+  const struct peer *const *lb = b;
 
   if ((*la)->near != (*lb)->near)
     return (*la)->near ? -1 : 1;
@@ -146,21 +152,21 @@
 }
 
 static uint64_t
-rank_of (const struct loadgossip *t, const char *vm)
+peer_rank (const struct loadgossip *t, const char *vm)
 {
   return XXH3_64bits_withSeed (vm, strlen (vm),
                                XXH3_64bits (t->self.vm, strlen (t->self.vm)));
 }
 
-static struct listener *
-find (const struct loadgossip *t, const char *vm)
+static struct peer *
+find_peer (const struct loadgossip *t, const char *vm)
 {
-  struct listener *l;
+  struct peer *l;
   guint i;
 
-  for (i = 0; i < t->listeners->len; i++)
+  for (i = 0; i < t->peers->len; i++)
     {
-      l = t->listeners->pdata[i];
+      l = t->peers->pdata[i];
       if (strcmp (l->row.vm, vm) == 0)
         return l;
     }
@@ -168,83 +174,85 @@
 }
 
 static void
-scale (struct loadgossip *t)
+update_load_scale (struct loadgossip *t)
 {
-  const struct listener *l;
-  int all = (int)t->listeners->len;
+  const struct peer *l;
+  int all = (int)t->peers->len;
   int near = 0;
   guint i;
 
-  for (i = 0; i < t->listeners->len; i++)
+  for (i = 0; i < t->peers->len; i++)
     {
-      l = t->listeners->pdata[i];
+      l = t->peers->pdata[i];
       near += l->near;
     }
-  load_scale (t->opts.load_table, near, MIN (near, LISTENERS_MAX),
-              all > LISTENERS_MAX);
+  load_scale (t->opts.load_table, near, MIN (near, RECIPIENTS_MAX),
+              all > RECIPIENTS_MAX);
 }
 
-/* A VM is listed, or spoke from ADDRESS: one that starts again elsewhere under
-   its name is told there. */
-static struct listener *
-note_vm (struct loadgossip *t, const struct roster_row *row,
-         const char *source, int64_t now_us)
+/* Add the VM of ROW, which is listed or sent a message. If it is known under
+ * another address, it has restarted there, and messages go to the new address.
+ */
+static struct peer *
+add_peer (struct loadgossip *t, const struct roster_row *row,
+          const char *source, int64_t now_us)
 {
-  struct listener *l = find (t, row->vm);
+  struct peer *l = find_peer (t, row->vm);
   apr_sockaddr_t *to;
 
   if (strcmp (row->vm, t->self.vm) == 0
       || (l != NULL && strcmp (l->row.address, row->address) == 0))
     return l;
-  if (l == NULL && t->listeners->len >= VMS_MAX)
+  if (l == NULL && t->peers->len >= VMS_MAX)
     return NULL;
   to = address_of (t, row->address);
   if (to == NULL)
     return l;
   if (l == NULL)
     {
-      l = g_new0 (struct listener, 1);
-      l->rank = rank_of (t, row->vm);
+      l = g_new0 (struct peer, 1);
+      l->rank = peer_rank (t, row->vm);
       l->listed_us = now_us;
-      g_ptr_array_add (t->listeners, l);
+      g_ptr_array_add (t->peers, l);
     }
   l->row = *row;
   l->to = to;
   l->near = strcmp (row->domain, t->self.domain) == 0;
-  g_ptr_array_sort (t->listeners, by_rank);
-  scale (t);
+  g_ptr_array_sort (t->peers, by_rank);
+  update_load_scale (t);
   log_event (LOG_LEVEL_INFO, "vm_known", "name=%s address=%s source=%s vms=%u",
-             row->vm, row->address, source, t->listeners->len);
+             row->vm, row->address, source, t->peers->len);
   return l;
 }
 
 static bool
-is_quiet (const struct listener *l, int64_t now_us)
+is_silent (const struct peer *l, int64_t now_us)
 {
-  return now_us - MAX (l->heard_us, l->listed_us) > QUIET_US;
+  return now_us - MAX (l->received_us, l->listed_us) > SILENT_US;
 }
 
-/* --- words ----------------------------------------------------------- */
+/* --- messages -------------------------------------------------------- */
 
 static void
-send_word (struct loadgossip *t, int64_t now_us)
+send_load (struct loadgossip *t, int64_t now_us)
 {
   g_autoptr (GByteArray) bytes = NULL;
-  const struct listener *l;
+  const struct peer *l;
   guint i, sent = 0;
 
-  t->opts.collect_load (t->opts.ctx, &t->word);
-  t->word.beat++;
-  load_take (t->opts.load_table, &t->word, now_us);
-  bytes = loadgossip_encode (&t->word);
-  for (i = 0; i < t->listeners->len && sent < LISTENERS_MAX; i++)
+  t->opts.collect_load (t->opts.ctx, &t->message);
+  t->message.beat++;
+  load_take (t->opts.load_table, &t->message, now_us);
+  bytes = loadgossip_encode (&t->message);
+  for (i = 0; i < t->peers->len && sent < RECIPIENTS_MAX; i++)
     {
       apr_size_t len = bytes->len;
 
-      l = t->listeners->pdata[i];
-      if (is_quiet (l, now_us) && (t->word.beat + i) % QUIET_EVERY != 0)
+      l = t->peers->pdata[i];
+      if (is_silent (l, now_us)
+          && (t->message.beat + i) % SILENT_SEND_EVERY != 0)
         continue;
-      /* A full buffer loses a word, as the way does. */
+      /* A full socket buffer loses the message, as the network may. */
       apr_socket_sendto (t->sock, l->to, 0, (const char *)bytes->data, &len);
       sent++;
     }
@@ -256,9 +264,9 @@
 {
   guint i;
 
-  for (i = 0; !t->stopped && i < MIN (t->listeners->len, LISTENERS_MAX); i++)
+  for (i = 0; !t->stopped && i < MIN (t->peers->len, RECIPIENTS_MAX); i++)
     {
-      const struct listener *l = t->listeners->pdata[i];
+      const struct peer *l = t->peers->pdata[i];
       apr_size_t len = datagram->len;
 
       apr_socket_sendto (t->sock, l->to, 0, (const char *)datagram->data,
@@ -267,31 +275,33 @@
 }
 
 static void
-on_say (void *arg, int64_t now_us)
+on_send_timer (void *arg, int64_t now_us)
 {
   struct loadgossip *t = arg;
 
   load_expire (t->opts.load_table, now_us);
-  send_word (t, now_us);
-  loop_arm (t->opts.loop, &t->say,
-            now_us + (t->word.n > 0 ? AGAIN_US : IDLE_US));
+  send_load (t, now_us);
+  loop_arm (t->opts.loop, &t->send_timer,
+            now_us + (t->message.n > 0 ? RESEND_US : IDLE_RESEND_US));
 }
 
 void
 loadgossip_load_changed (struct loadgossip *t, int64_t now_us)
 {
-  if (t->stopped || (t->say.armed && t->say.due_us <= now_us + GATHER_US))
+  if (t->stopped
+      || (t->send_timer.armed
+          && t->send_timer.due_us <= now_us + SEND_DELAY_US))
     return;
-  loop_arm (t->opts.loop, &t->say, now_us + GATHER_US);
+  loop_arm (t->opts.loop, &t->send_timer, now_us + SEND_DELAY_US);
 }
 
 static void
-hear (struct loadgossip *t, const char *data, size_t len,
-      const apr_sockaddr_t *from, int64_t now_us)
+receive (struct loadgossip *t, const char *data, size_t len,
+         const apr_sockaddr_t *from, int64_t now_us)
 {
   struct load_gossip w;
   struct roster_row row;
-  struct listener *l;
+  struct peer *l;
   char *ip;
 
   if (t->opts.on_other_datagram != NULL
@@ -306,16 +316,16 @@
   if (!load_take (t->opts.load_table, &w, now_us))
     return;
   met_add (MET_LOADS_HEARD, 1);
-  l = find (t, w.vm);
+  l = find_peer (t, w.vm);
   if (l == NULL)
     {
       g_strlcpy (row.vm, w.vm, sizeof row.vm);
       g_strlcpy (row.domain, w.domain, sizeof row.domain);
       g_snprintf (row.address, sizeof row.address, "%s:%d", ip, from->port);
-      l = note_vm (t, &row, "word", now_us);
+      l = add_peer (t, &row, "word", now_us);
     }
   if (l != NULL)
-    l->heard_us = now_us;
+    l->received_us = now_us;
 }
 
 static void
@@ -335,17 +345,17 @@
     return;
   apr_pool_create (&pool, t->pool);
   apr_sockaddr_info_get (&from, NULL, APR_INET, 0, 0, pool);
-  for (i = 0; i < TAKE_MAX; i++)
+  for (i = 0; i < DATAGRAMS_PER_TURN; i++)
     {
       len = sizeof buf;
       if (apr_socket_recvfrom (from, t->sock, 0, buf, &len) != APR_SUCCESS)
         break;
-      hear (t, buf, len, from, now);
+      receive (t, buf, len, from, now);
     }
   apr_pool_destroy (pool);
 }
 
-/* --- the list -------------------------------------------------------- */
+/* --- the roster ------------------------------------------------------ */
 
 void
 roster_note_version (struct roster_age *a, int64_t version, bool steady)
@@ -360,49 +370,50 @@
 bool
 roster_is_active (const struct roster_age *a)
 {
-  return a->unchanged < ABSENT_READS;
+  return a->unchanged < INACTIVE_READS;
 }
 
 bool
 roster_is_expired (const struct roster_age *a)
 {
-  return a->unchanged >= GONE_READS;
+  return a->unchanged >= EXPIRED_READS;
 }
 
 static bool
-has_duties (const struct listener *l)
+is_active_peer (const struct peer *l)
 {
   return l->listed && roster_is_active (&l->age);
 }
 
 static void
-plan_list (struct loadgossip *t, int64_t now_us)
+schedule_list_read (struct loadgossip *t, int64_t now_us)
 {
   loop_arm (t->opts.loop, &t->list,
             now_us + t->list_pause_us / 2
                 + g_rand_int_range (t->rand, 0, (gint32)t->list_pause_us));
-  t->list_pause_us = MIN (2 * t->list_pause_us, LIST_MAX_US);
+  t->list_pause_us = MIN (2 * t->list_pause_us, LIST_PAUSE_MAX_US);
 }
 
 static void
-take_listed (struct loadgossip *t, const struct roster_row *row,
-             int64_t now_us)
+handle_listed_row (struct loadgossip *t, const struct roster_row *row,
+                   int64_t now_us)
 {
-  struct listener *l = note_vm (t, row, "list", now_us);
+  struct peer *l = add_peer (t, row, "list", now_us);
 
   if (l != NULL)
     {
       l->listed = true;
       l->in_list = true;
       roster_note_version (&l->age, row->version,
-                           t->list_pause_us == LIST_MAX_US);
+                           t->list_pause_us == LIST_PAUSE_MAX_US);
     }
   t->listed |= strcmp (row->vm, t->self.vm) == 0;
 }
 
-/* Whoever comes first for a row removes it, so that not all VMs do. */
+/* Only the VM that ranks first for the row removes it, so that not all VMs do.
+ */
 static void
-remove_row (struct loadgossip *t, const struct listener *l)
+remove_row (struct loadgossip *t, const struct peer *l)
 {
   const struct roster_ops *o = &t->opts.ops;
   uint64_t key = XXH3_64bits (l->row.vm, strlen (l->row.vm));
@@ -414,16 +425,16 @@
     o->remove (o->ctx, l->row.vm, l->age.version);
 }
 
-/* What the list that was read says of VMs that are gone. */
+/* Age the rows that the last read did not return, and remove expired ones. */
 static void
-take_absent (struct loadgossip *t)
+expire_rows (struct loadgossip *t)
 {
-  struct listener *l;
+  struct peer *l;
   int i;
 
-  for (i = (int)t->listeners->len - 1; i >= 0; i--)
+  for (i = (int)t->peers->len - 1; i >= 0; i--)
     {
-      l = t->listeners->pdata[i];
+      l = t->peers->pdata[i];
       if (!l->listed)
         continue;
       if (!l->in_list)
@@ -433,70 +444,70 @@
       if (l->in_list)
         remove_row (t, l);
       else
-        g_ptr_array_remove_index (t->listeners, (guint)i);
+        g_ptr_array_remove_index (t->peers, (guint)i);
     }
 }
 
-/* VMs that share the rates of endpoints. */
+/* VMs that the rates of endpoints are divided among. */
 static int
-count_listed (const struct loadgossip *t)
+count_active (const struct loadgossip *t)
 {
-  const struct listener *l;
+  const struct peer *l;
   int n = t->listed;
   guint i;
 
-  for (i = 0; i < t->listeners->len; i++)
+  for (i = 0; i < t->peers->len; i++)
     {
-      l = t->listeners->pdata[i];
-      n += has_duties (l);
+      l = t->peers->pdata[i];
+      n += is_active_peer (l);
     }
   return n;
 }
 
 static void
-on_list (void *arg, const GArray *list)
+on_roster (void *arg, const GArray *list)
 {
   struct loadgossip *t = arg;
   int64_t now = loop_now_us ();
-  int before = count_listed (t);
+  int before = count_active (t);
   guint i;
 
   t->calls--;
   if (t->stopped)
     return;
-  for (i = 0; i < t->listeners->len; i++)
-    ((struct listener *)t->listeners->pdata[i])->in_list = false;
+  for (i = 0; i < t->peers->len; i++)
+    ((struct peer *)t->peers->pdata[i])->in_list = false;
   for (i = 0; list != NULL && i < list->len; i++)
-    take_listed (t, &g_array_index (list, struct roster_row, i), now);
+    handle_listed_row (t, &g_array_index (list, struct roster_row, i), now);
   if (list != NULL)
-    take_absent (t);
-  if (count_listed (t) != before)
+    expire_rows (t);
+  if (count_active (t) != before)
     log_event (LOG_LEVEL_INFO, "vms_listed", "vms=%d before=%d self=%s",
-               count_listed (t), before, t->listed ? "yes" : "no");
-  plan_list (t, now);
+               count_active (t), before, t->listed ? "yes" : "no");
+  schedule_list_read (t, now);
   loadgossip_load_changed (t, now);
 }
 
 static void
-read_list (struct loadgossip *t)
+read_roster (struct loadgossip *t)
 {
   t->calls++;
-  t->opts.ops.read (t->opts.ops.ctx, on_list, t);
+  t->opts.ops.read (t->opts.ops.ctx, on_roster, t);
 }
 
 static void
 on_written (void *arg, bool written)
 {
   struct loadgossip *t = arg;
-  gint32 again = (gint32)WRITE_AGAIN_US;
+  gint32 again = (gint32)WRITE_RETRY_US;
 
   t->calls--;
-  t->written = written && !t->outdated;
-  t->outdated = false;
+  t->written = written && !t->write_outdated;
+  t->write_outdated = false;
   if (t->stopped)
     return;
   if (t->written)
-    read_list (t);
+    read_roster (t);
   else
     loop_arm (t->opts.loop, &t->list,
               loop_now_us () + again / 2
@@ -510,16 +521,16 @@
   t->opts.ops.write (t->opts.ops.ctx, &t->self, on_written, t);
 }
 
-/* At the longest pause the row is written again, which tells that this VM
-   lives. */
+/* Once the pause has reached its maximum, the row is written before each read,
+ * as a heartbeat of this VM. */
 static void
-on_list_due (void *arg, int64_t now_us)
+on_list_timer (void *arg, int64_t now_us)
 {
   struct loadgossip *t = arg;
 
   (void)now_us;
-  if (t->written && t->list_pause_us < LIST_MAX_US)
-    read_list (t);
+  if (t->written && t->list_pause_us < LIST_PAUSE_MAX_US)
+    read_roster (t);
   else
     write_row (t);
 }
@@ -528,34 +539,35 @@
 loadgossip_store_restored (struct loadgossip *t, int64_t now_us)
 {
   t->written = false;
-  t->outdated = t->calls > 0;
-  t->list_pause_us = REWRITE_US;
+  t->write_outdated = t->calls > 0;
+  t->list_pause_us = RESTORE_SPREAD_US;
   if (!t->stopped && t->calls == 0)
-    plan_list (t, now_us);
+    schedule_list_read (t, now_us);
 }
 
-/* --- duties by rendezvous -------------------------------------------- */
+/* --- rendezvous hashing ---------------------------------------------- */
 
 static uint64_t
-score (const char *vm, uint64_t key)
+rendezvous_score (const char *vm, uint64_t key)
 {
   return XXH3_64bits_withSeed (vm, strlen (vm), key);
 }
 
-/* Listed VMs that come before this one for KEY.  A VM that only spoke does not
-   count: whoever sends datagrams could take duties away. */
+/* Number of listed VMs that rank before this one for KEY. A VM that only sent
+ * messages does not count: otherwise anybody who can send datagrams could take
+ * work and rates away from listed VMs. */
 static int
-rank_for (const struct loadgossip *t, uint64_t key)
+own_rank (const struct loadgossip *t, uint64_t key)
 {
-  uint64_t own = score (t->self.vm, key);
-  const struct listener *l;
+  uint64_t own = rendezvous_score (t->self.vm, key);
+  const struct peer *l;
   int rank = 0;
   guint i;
 
-  for (i = 0; i < t->listeners->len; i++)
+  for (i = 0; i < t->peers->len; i++)
     {
-      l = t->listeners->pdata[i];
-      rank += has_duties (l) && score (l->row.vm, key) > own;
+      l = t->peers->pdata[i];
+      rank += is_active_peer (l) && rendezvous_score (l->row.vm, key) > own;
     }
   return rank;
 }
@@ -565,14 +577,14 @@
 {
   if (!t->listed)
     return 0;
-  return cold_part (rate, count_listed (t), rank_for (t, endpoint));
+  return cold_part (rate, count_active (t), own_rank (t, endpoint));
 }
 
 int64_t
 loadgossip_limit_interval (const struct loadgossip *t, uint64_t endpoint,
                            int64_t milli, int64_t clock_ms)
 {
-  int vms = count_listed (t);
+  int vms = count_active (t);
   uint64_t turn = 0;
 
   if (!t->listed)
@@ -584,22 +596,22 @@
       turn = limit_turn (clock_ms);
     }
   endpoint = XXH3_64bits_withSeed (&endpoint, sizeof endpoint, turn);
-  return limit_gap_us (milli, vms, rank_for (t, endpoint));
+  return limit_gap_us (milli, vms, own_rank (t, endpoint));
 }
 
 bool
 loadgossip_ranks_within (const struct loadgossip *t, uint64_t key, int places)
 {
-  return !t->listed || rank_for (t, key) < places;
+  return !t->listed || own_rank (t, key) < places;
 }
 
 bool
 loadgossip_ranks_first (const struct loadgossip *t, uint64_t key)
 {
-  return t->listed && rank_for (t, key) == 0;
+  return t->listed && own_rank (t, key) == 0;
 }
 
-/* --- life ------------------------------------------------------------ */
+/* --- lifecycle ------------------------------------------------------- */
 
 struct loadgossip *
 loadgossip_new (const struct loadgossip_opts *opts)
@@ -609,17 +621,17 @@
   t->opts = *opts;
   t->rand = g_rand_new_with_seed ((guint32)opts->seed);
   apr_pool_create (&t->pool, NULL);
-  t->listeners = g_ptr_array_new_with_free_func (g_free);
+  t->peers = g_ptr_array_new_with_free_func (g_free);
   g_strlcpy (t->self.vm, opts->vm, sizeof t->self.vm);
   g_strlcpy (t->self.domain, opts->domain, sizeof t->self.domain);
-  g_strlcpy (t->word.vm, opts->vm, sizeof t->word.vm);
-  g_strlcpy (t->word.domain, opts->domain, sizeof t->word.domain);
-  t->word.life = (uint64_t)g_get_real_time ();
-  t->say.fire = on_say;
-  t->say.arg = t;
-  t->list.fire = on_list_due;
+  g_strlcpy (t->message.vm, opts->vm, sizeof t->message.vm);
+  g_strlcpy (t->message.domain, opts->domain, sizeof t->message.domain);
+  t->message.life = (uint64_t)g_get_real_time ();
+  t->send_timer.fire = on_send_timer;
+  t->send_timer.arg = t;
+  t->list.fire = on_list_timer;
   t->list.arg = t;
-  t->list_pause_us = LIST_FIRST_US;
+  t->list_pause_us = LIST_PAUSE_FIRST_US;
   if (!open_socket (t, opts->listen))
     {
       loadgossip_free (t);
@@ -629,8 +641,8 @@
   loop_watch (opts->loop, t->watch, true, false);
   log_event (LOG_LEVEL_INFO, "tell_listen",
              "address=%s life=%" G_GUINT64_FORMAT, t->self.address,
-             (guint64)t->word.life);
-  plan_list (t, loop_now_us ());
+             (guint64)t->message.life);
+  schedule_list_read (t, loop_now_us ());
   return t;
 }
 
@@ -638,7 +650,7 @@
 loadgossip_stop (struct loadgossip *t)
 {
   t->stopped = true;
-  loop_disarm (&t->say);
+  loop_disarm (&t->send_timer);
   loop_disarm (&t->list);
 }
 
@@ -653,9 +665,9 @@
 {
   if (t->watch != NULL)
     loop_remove_fd (t->opts.loop, t->watch);
-  g_ptr_array_unref (t->listeners);
+  g_ptr_array_unref (t->peers);
   g_rand_free (t->rand);
-  /* Closes the socket too. */
+  /* Also closes the socket. */
   apr_pool_destroy (t->pool);
   g_free (t);
 }
--- a/loadgossipwire.c
+++ b/loadgossipwire.c
@@ -1,12 +1,13 @@
-/* A VM's word about its work, as datagrams carry it. */
+/* Encoding of a load message as a datagram (XDR). */
 #include "loadgossip.h"
 
 #include "peer.h"
 
-/* No prompt and no endpoint is larger; sums of all VMs stay far below 2^63. */
+/* No prompt and no endpoint's memory is larger; with this cap, sums over all
+ * VMs stay far below 2^63. */
 #define TOKENS_MAX 1000000000
-/* A word of 40 entries takes 1.5 KB at most. */
-#define WORD_MAX_BYTES 2048
+/* A message of 40 entries takes at most 1.5 KB. */
+#define MESSAGE_MAX_BYTES 2048
 
 GByteArray *
 loadgossip_encode (const struct load_gossip *w)
@@ -14,7 +15,7 @@
   struct peer_work_entry entries[LOAD_ENTRIES_MAX];
   peer_work work = { .life = w->life, .beat = w->beat };
   GByteArray *out = g_byte_array_new ();
-  char buf[WORD_MAX_BYTES];
+  char buf[MESSAGE_MAX_BYTES];
   XDR x;
   int i;
 
@@ -41,7 +42,7 @@
 }
 
 static void
-take (const peer_work *work, struct load_gossip *w)
+copy_message (const peer_work *work, struct load_gossip *w)
 {
   u_int i;
 
@@ -74,7 +75,7 @@
   good = xdr_peer_work (&x, &work) && work.vm[0] != '\0'
          && work.entries.entries_len <= LOAD_ENTRIES_MAX;
   if (good)
-    take (&work, w);
+    copy_message (&work, w);
   xdr_destroy (&x);
   xdr_free ((xdrproc_t)xdr_peer_work, &work);
   return good;
--- a/sse.c
+++ b/sse.c
@@ -1,4 +1,4 @@
-/* Events of a stream that is passed on. */
+/* Server-sent events of a relayed stream. */
 #include "sse.h"
 
 #include <string.h>
@@ -30,9 +30,10 @@
   return e->partial->len > 0;
 }
 
-/* Bytes up to and with the blank line that ends the first event, or 0. */
+/* Length of the first event with the blank line that ends it, or 0 if it is
+ * incomplete; the search starts at FROM. */
 static size_t
-first_event (const GString *s, size_t from)
+first_event_length (const GString *s, size_t from)
 {
   size_t i;
 
@@ -45,9 +46,9 @@
   return 0;
 }
 
-/* Number of an event, or -1. */
+/* Value of the event's id field, or -1 if it has none. */
 static int64_t
-id_of (const char *event, size_t len)
+event_id (const char *event, size_t len)
 {
   const char *end = event + len;
   const char *line = event;
@@ -67,16 +68,16 @@
 bool
 sse_feed (struct sse *e, const char *data, size_t len, size_t max, GString *to)
 {
-  /* Two bytes back: the blank line may be cut. */
+  /* Two bytes back: the blank line may be split between two reads. */
   size_t from = e->partial->len > 2 ? e->partial->len - 2 : 0;
   size_t n;
   int64_t id;
 
   g_string_append_len (e->partial, data, (gssize)len);
-  while ((n = first_event (e->partial, from)) > 0)
+  while ((n = first_event_length (e->partial, from)) > 0)
     {
-      id = id_of (e->partial->str, n);
-      /* A run that goes on may repeat what the caller has. */
+      id = event_id (e->partial->str, n);
+      /* A resumed run may repeat events that the caller already has. */
       if (id < 0 || id > e->last_id)
         g_string_append_len (to, e->partial->str, (gssize)n);
       if (id > e->last_id)
--- a/sse.h
+++ b/sse.h
@@ -1,4 +1,5 @@
-/* Events of a stream that is passed on: whole ones only, each once. */
+/* Server-sent events of a relayed stream: only complete events are passed on,
+ * and each only once. */
 #ifndef CQ_SSE_H
 #define CQ_SSE_H
 
@@ -6,22 +7,22 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A stream over all attempts at it. */
+/* A stream across all attempts of its request. */
 struct sse
 {
-  GString *partial; /* an event that is not whole yet */
+  GString *partial; /* incomplete event received so far */
   int64_t last_id;  /* of the last event passed on, -1 before any */
 };
 
 void sse_init (struct sse *e, int64_t after);
 void sse_clear (struct sse *e);
-/* A new attempt begins: what the last one left in part is void. */
+/* A new attempt begins: discard the incomplete event of the previous one. */
 void sse_restart (struct sse *e);
-/* Take bytes; whole new events are appended to TO.  False if one event is
-   larger than MAX bytes. */
+/* Parse LEN bytes and append complete new events to TO. Returns false if the
+ * incomplete event is larger than MAX bytes. */
 bool sse_feed (struct sse *e, const char *data, size_t len, size_t max,
                GString *to);
-/* Whether an event has begun and not ended. */
+/* Whether an incomplete event is buffered. */
 bool sse_has_partial (const struct sse *e);
 
 #endif
