--- a/evac.c
+++ b/evac.c
@@ -46,10 +46,10 @@
   g_array_index (f->evacuated, struct fleet_evacuation, i).missing_us = 0;
 }
 
-/* Endpoints may have become cold just before the evacuation ended, and their
-   entries say so a heartbeat later. */
+/* Mark the domain's endpoints as cold: they may have become cold just before
+ * the evacuation ended, and their entries show that only a heartbeat later. */
 static void
-expect_cold (struct fleet *f, const char *domain, int64_t now_us)
+mark_cold (struct fleet *f, const char *domain, int64_t now_us)
 {
   const struct fleet_service *s;
   struct fleet_endpoint *e;
@@ -65,13 +65,13 @@
 }
 
 static void
-end_at (struct fleet *f, int i, int64_t now_us)
+end_evacuation (struct fleet *f, int i, int64_t now_us)
 {
   const struct fleet_evacuation *was
       = &g_array_index (f->evacuated, struct fleet_evacuation, i);
 
   log_evacuation (was->domain, "ended", 0);
-  expect_cold (f, was->domain, now_us);
+  mark_cold (f, was->domain, now_us);
   g_array_remove_index_fast (f->evacuated, (guint)i);
 }
 
@@ -81,11 +81,12 @@
   int i = find (f, domain);
 
   if (i >= 0)
-    end_at (f, i, now_us);
+    end_evacuation (f, i, now_us);
 }
 
-/* A store that came back from an older copy lacks the row until the operator
-   has written it again. */
+/* A store that was restored from an older copy lacks the row until the
+ * operator has written it again, so the evacuation may only be doubted at
+ * first. */
 void
 evac_not_listed (struct fleet *f, const char *domain, int64_t now_us)
 {
@@ -96,7 +97,7 @@
     return;
   if (fleet_missing_counts (f, now_us))
     {
-      end_at (f, i, now_us);
+      end_evacuation (f, i, now_us);
       return;
     }
   v = &g_array_index (f->evacuated, struct fleet_evacuation, i);
@@ -115,5 +116,5 @@
   for (i = (int)f->evacuated->len - 1; i >= 0; i--)
     if (g_array_index (f->evacuated, struct fleet_evacuation, i).missing_us
         != 0)
-      end_at (f, i, now_us);
+      end_evacuation (f, i, now_us);
 }
--- a/follow.c
+++ b/follow.c
@@ -10,9 +10,9 @@
 
 /*
  * Longest wait of a poll. While nothing changes, the settings also get this
- * old. So it must stay well under the age at which API keys are no longer
- * accepted (seconds), and under the age at which requests are no longer denied
- * by the settings.
+ * old. So it must stay well under the age past which API keys are no longer
+ * accepted (seconds), and under the age past which the VM no longer denies
+ * requests on the basis of its settings.
  */
 #define OPERATOR_WAIT_US (2200 * CQ_US_PER_MS)
 /* Shortest wait of a poll, used after a reply that took so long that its
@@ -117,10 +117,9 @@
       version_times[VERSION_TIMES_MAX]; /* the newest ones, oldest first */
   int nversion_times;                   /* entries in version_times */
   int64_t era; /* newest era seen of the platform's store; 0: not given */
-  int64_t
-      clock_offset_us; /* lower bound of this VM's clock less the platform's */
-  bool clock_known;    /* clock_offset_us is set */
-  bool stopped;        /* no more calls are started */
+  int64_t clock_offset_us; /* local minus platform clock, lower bound */
+  bool clock_known;        /* clock_offset_us is set */
+  bool stopped;            /* no more calls are started */
 };
 
 static void start_call (struct stream *s, int64_t now_us);
--- a/partfeed.c
+++ b/partfeed.c
@@ -1,4 +1,4 @@
-/* Keeping the directory of stored parts current. */
+/* Keeps the directory of stored parts current. */
 #include "partfeed.h"
 
 #include <string.h>
@@ -7,58 +7,64 @@
 #include "decide.h"
 #include "log.h"
 
-/* The longest that a store lets a poll wait. */
-#define WAIT_US (1000 * CQ_US_PER_MS)
+/* Longest wait that a store allows a poll. */
+#define POLL_WAIT_US (1000 * CQ_US_PER_MS)
 /*
- * A store holds some ten polls at once, and VMs may be many: then most polls
- * are turned away, and most VMs know of nothing that is stored.
- * One that is turned away pauses between short polls, twice as long each
- * time, up to the longest; a quarter less after each answer.  A save needs
- * knowledge of 1.5 s: with long pauses that end slowly, most VMs could have
- * nothing saved.
+ * A store accepts some ten concurrent polls. With many VMs most polls would be
+ * refused, and most VMs would not know what is stored. A VM whose poll is
+ * refused changes to short polls with pauses in between. The pause doubles
+ * with each refusal, up to the maximum, and gets shorter by a quarter with
+ * each reply. A save requires contents that were synchronized at most 1.5 s
+ * ago: with long pauses that decrease slowly, most VMs could not save
+ * anything.
  */
-#define SHORT_WAIT_US (200 * CQ_US_PER_MS)
+#define PACED_POLL_WAIT_US (200 * CQ_US_PER_MS)
 #define PACE_FIRST_US (200 * CQ_US_PER_MS)
 #define PACE_MAX_US (400 * CQ_US_PER_MS)
-#define PACE_EASE 4
-/* After a failed call: a store that restarts takes seconds. */
-#define PAUSE_US (500 * CQ_US_PER_MS)
-/* A call to free is void after this time on the store's clock. */
-#define FREE_VOID_MS 800
-/* Between calls to free at one store, for its events to tell. */
-#define FREE_EVERY_US (600 * CQ_US_PER_MS)
-
-/* Calls that a store holds at once, if it does not say. */
-#define CALLS_USUAL 12
-/* Of these, percent for VMs that follow it closely, each of which has one
-   under way nearly all the time. */
-#define CLOSE_PERCENT 75
-/* The other VMs pause so long for each store that there is, within these
-   bounds: polls cost the same however many stores are polled, until what is
-   known would be too old for fetches. */
-#define LOOSE_STORE_US (50 * CQ_US_PER_MS)
-#define LOOSE_MIN_US (1200 * CQ_US_PER_MS)
-#define LOOSE_MAX_US (2500 * CQ_US_PER_MS)
-/* Who follows closely is looked up anew after this time. */
-#define JUDGE_US (2 * CQ_US_PER_S)
+#define PACE_DECREASE_DIVISOR 4
+/* Pause after a failed call: a restart of a store takes seconds. */
+#define RETRY_PAUSE_US (500 * CQ_US_PER_MS)
+/* A call to free parts expires after this time on the store's clock. */
+#define FREE_EXPIRY_MS 800
+/* Interval between calls to free parts at one store, so that its events arrive
+ * in between. */
+#define FREE_INTERVAL_US (600 * CQ_US_PER_MS)
+
+/* Concurrent calls that a store accepts, if the configuration does not tell.
+ */
+#define CALLS_DEFAULT 12
+/* Percentage of these for VMs that poll the store continuously, each of which
+ * has a call in progress nearly all the time. */
+#define CONTINUOUS_PERCENT 75
+/* The other VMs pause between polls for this time multiplied by the number of
+ * stores, within these bounds. So the total rate of polls does not depend on
+ * the number of stores, up to the pause at which the contents known here would
+ * be too old for fetches. */
+#define SPACED_PER_STORE_US (50 * CQ_US_PER_MS)
+#define SPACED_MIN_US (1200 * CQ_US_PER_MS)
+#define SPACED_MAX_US (2500 * CQ_US_PER_MS)
+/* Interval at which a VM checks again whether it is to poll a store
+ * continuously. */
+#define RANK_CHECK_US (2 * CQ_US_PER_S)
 
 /* One store that is followed. */
 struct watch
 {
   APR_RING_ENTRY (watch) link; /* in the feed's list */
-  struct partfeed *feed;       /* whose */
+  struct partfeed *feed;       /* owner */
   struct parts_store *store;   /* in the directory */
-  struct loop_timer timer;     /* ends a pause */
-  bool busy;                   /* a call is under way */
-  bool listing;                /* that call lists all */
-  bool need_list;              /* what is known has a gap */
-  bool lost;                   /* the last call failed */
-  int64_t pace_us;             /* mean pause between polls, 0 for none */
-  int64_t asked_us;            /* the call under way was sent */
-  int64_t judged_us;           /* whether closely was looked up; 0 for never */
-  bool freeing;                /* a call to free is under way */
-  int64_t freed_us;            /* the last one was sent */
-  GArray *freed;               /* struct part_stored that it names */
+  struct loop_timer timer;     /* starts the next poll */
+  bool busy;                   /* a call is in progress */
+  bool listing;                /* that call lists all that is stored */
+  bool need_list;   /* events were lost; the next call must list all */
+  bool unreachable; /* the last call failed */
+  int64_t pace_us;  /* mean pause between polls after refusals, 0 for none */
+  int64_t sent_us;  /* when the call in progress was sent */
+  int64_t
+      rank_checked_us;  /* when the VM's rank was checked last; 0 for never */
+  bool freeing;         /* a call to free parts is in progress */
+  int64_t free_sent_us; /* when the last such call was sent */
+  GArray *freed;        /* struct part_stored, the parts of that call */
 };
 
 struct partfeed
@@ -66,20 +72,20 @@
   struct partfeed_opts opts;                 /* as made */
   APR_RING_HEAD (watch_ring, watch) watches; /* by store */
   GRand *rand;                               /* for pauses */
-  int stores;                                /* that are listed */
-  bool stopped;                              /* asks nothing more */
+  int stores;                                /* number of configured stores */
+  bool stopped;                              /* no more calls are started */
 };
 
-static void ask (struct watch *w, int64_t now_us);
+static void start_poll (struct watch *w, int64_t now_us);
 
 static void
 on_timer (void *arg, int64_t now_us)
 {
-  ask (arg, now_us);
+  start_poll (arg, now_us);
 }
 
 static void
-pause_then_ask (struct watch *w, int64_t pause_us, int64_t now_us)
+schedule_poll (struct watch *w, int64_t pause_us, int64_t now_us)
 {
   loop_arm (w->feed->opts.loop, &w->timer, now_us + pause_us);
 }
@@ -91,22 +97,22 @@
 }
 
 static int64_t
-loose_us (const struct partfeed *f)
+spaced_pause_us (const struct partfeed *f)
 {
-  return CLAMP (f->stores * LOOSE_STORE_US, LOOSE_MIN_US, LOOSE_MAX_US);
+  return CLAMP (f->stores * SPACED_PER_STORE_US, SPACED_MIN_US, SPACED_MAX_US);
 }
 
-/* Half to one and a half times the pace: VMs that were turned away together
-   must not return together. */
+/* Returns 0.5 to 1.5 times the pace: VMs that were refused together must not
+ * return together. */
 static int64_t
-drawn_pause (struct watch *w, int64_t pace_us)
+jittered_pause (struct watch *w, int64_t pace_us)
 {
   return pace_us / 2
          + g_rand_int_range (w->feed->rand, 0, (gint32)pace_us + 1);
 }
 
 static void
-note_pace (const struct watch *w, const char *outcome)
+log_pace (const struct watch *w, const char *outcome)
 {
   log_event (LOG_LEVEL_INFO, "store",
              "store=%s outcome=%s pace_us=%" G_GINT64_FORMAT
@@ -125,7 +131,7 @@
   if (w->pace_us > PACE_MAX_US)
     w->pace_us = PACE_MAX_US;
   if (first)
-    note_pace (w, "rate_limited");
+    log_pace (w, "rate_limited");
 }
 
 static void
@@ -133,15 +139,15 @@
 {
   if (w->pace_us == 0)
     return;
-  w->pace_us -= w->pace_us / PACE_EASE;
+  w->pace_us -= w->pace_us / PACE_DECREASE_DIVISOR;
   if (w->pace_us >= PACE_FIRST_US / 2)
     return;
   w->pace_us = 0;
-  note_pace (w, "not_limited");
+  log_pace (w, "not_limited");
 }
 
 static void
-take_events (struct watch *w, const struct partfeed_reply *n)
+apply_events (struct watch *w, const struct partfeed_reply *n)
 {
   const struct partfeed_event *e;
   guint i;
@@ -158,11 +164,11 @@
 }
 
 static void
-note_contact (struct watch *w, bool reached)
+update_reachability (struct watch *w, bool reached)
 {
-  if (w->lost != reached)
+  if (w->unreachable != reached)
     return;
-  w->lost = !reached;
+  w->unreachable = !reached;
   log_event (reached ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING, "store",
              "store=%s outcome=%s epoch=%" G_GINT64_FORMAT
              " held=%u used=%" G_GINT64_FORMAT,
@@ -171,52 +177,54 @@
              (gint64)w->store->used_tokens);
 }
 
-/* An answer of a life that is over may come after the next one's first. */
+/* A delayed reply of an earlier incarnation may arrive after the first reply
+ * of the next one. */
 static bool
-is_of_earlier_life (const struct parts_store *s,
-                    const struct partfeed_reply *n)
+is_of_earlier_incarnation (const struct parts_store *s,
+                           const struct partfeed_reply *n)
 {
   return n->status == PARTFEED_OK && n->born_ms != 0
          && n->born_ms < s->born_ms;
 }
 
-/* A restart empties a store, and a gap hides what was freed: a part believed
-   to be there would be a fetch in vain.  Both are followed by a list. */
+/* A restart empties a store, and lost events may include removals: a part that
+ * is wrongly considered stored would cause a useless fetch. Both are followed
+ * by a call that lists all that is stored. */
 static void
-on_news (void *arg, const struct partfeed_reply *n)
+on_reply (void *arg, const struct partfeed_reply *n)
 {
   struct watch *w = arg;
   int64_t now = loop_now_us ();
-  bool again;
+  bool restarted;
 
   w->busy = false;
   if (w->feed->stopped)
     return;
-  note_contact (w, n->status != PARTFEED_NO_REPLY);
+  update_reachability (w, n->status != PARTFEED_NO_REPLY);
   if (n->status == PARTFEED_NO_REPLY)
     {
       parts_store_unreachable (w->store);
-      pause_then_ask (w, PAUSE_US, now);
+      schedule_poll (w, RETRY_PAUSE_US, now);
       return;
     }
   parts_store_replied (w->store, n->clock_ms, now);
   if (n->status == PARTFEED_RATE_LIMITED)
     {
       slow_down (w);
-      pause_then_ask (w, drawn_pause (w, w->pace_us), now);
+      schedule_poll (w, jittered_pause (w, w->pace_us), now);
       return;
     }
-  if (is_of_earlier_life (w->store, n))
+  if (is_of_earlier_incarnation (w->store, n))
     {
       log_event (LOG_LEVEL_INFO, "store",
                  "store=%s outcome=passed_over reason=life_older "
                  "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT,
                  w->store->address, (gint64)n->born_ms,
                  (gint64)w->store->born_ms);
-      pause_then_ask (w, PAUSE_US, now);
+      schedule_poll (w, RETRY_PAUSE_US, now);
       return;
     }
-  again = w->store->born_ms != 0 && n->born_ms > w->store->born_ms;
+  restarted = w->store->born_ms != 0 && n->born_ms > w->store->born_ms;
   w->store->born_ms = MAX (w->store->born_ms, n->born_ms);
   speed_up (w);
   if (w->listing)
@@ -224,7 +232,7 @@
       parts_store_reset (w->store, n->epoch, n->next_event, now);
       w->need_list = false;
     }
-  else if (n->epoch != w->store->epoch || n->events_lost || again)
+  else if (n->epoch != w->store->epoch || n->events_lost || restarted)
     {
       log_event (LOG_LEVEL_INFO, "store",
                  "store=%s outcome=%s epoch=%" G_GINT64_FORMAT
@@ -236,64 +244,66 @@
     }
   if (!w->need_list)
     {
-      take_events (w, n);
-      parts_store_synced (w->store, w->asked_us);
+      apply_events (w, n);
+      parts_store_synced (w->store, w->sent_us);
     }
   if (!is_paced (w) || w->need_list)
-    ask (w, now);
+    start_poll (w, now);
   else
-    pause_then_ask (w,
-                    drawn_pause (w, w->store->continuous ? w->pace_us
-                                                         : loose_us (w->feed)),
-                    now);
+    schedule_poll (w,
+                   jittered_pause (w, w->store->continuous
+                                          ? w->pace_us
+                                          : spaced_pause_us (w->feed)),
+                   now);
 }
 
 /*
- * A store holds some calls at once, and VMs may be many more: each that polls
- * all stores without a pause takes its place from another.  As many as have
- * room follow a store closely; the others pause between polls.
+ * A store accepts a limited number of concurrent calls, and there may be many
+ * more VMs: each VM that polls without pauses displaces another one. So only
+ * as many VMs as the store has room for poll it continuously; the others pause
+ * between polls.
  */
 static void
-judge (struct watch *w, int64_t now_us)
+choose_polling (struct watch *w, int64_t now_us)
 {
   const struct partfeed_opts *o = &w->feed->opts;
-  int calls = w->store->calls_max > 0 ? w->store->calls_max : CALLS_USUAL;
+  int calls = w->store->calls_max > 0 ? w->store->calls_max : CALLS_DEFAULT;
   uint64_t key = XXH3_64bits (w->store->address, strlen (w->store->address));
-  bool close;
+  bool continuous;
 
-  if (w->judged_us != 0 && now_us - w->judged_us < JUDGE_US)
+  if (w->rank_checked_us != 0 && now_us - w->rank_checked_us < RANK_CHECK_US)
     return;
-  close
-      = o->ranks_within == NULL
-        || o->ranks_within (o->arg, key, MAX (calls * CLOSE_PERCENT / 100, 1));
-  if (w->judged_us == 0 || close != w->store->continuous)
+  continuous = o->ranks_within == NULL
+               || o->ranks_within (o->arg, key,
+                                   MAX (calls * CONTINUOUS_PERCENT / 100, 1));
+  if (w->rank_checked_us == 0 || continuous != w->store->continuous)
     log_event (LOG_LEVEL_INFO, "store", "store=%s outcome=%s calls_max=%d",
-               w->store->address, close ? "close" : "loose",
+               w->store->address, continuous ? "close" : "loose",
                w->store->calls_max);
-  w->store->continuous = close;
-  w->judged_us = now_us;
+  w->store->continuous = continuous;
+  w->rank_checked_us = now_us;
 }
 
 static void
-ask (struct watch *w, int64_t now_us)
+start_poll (struct watch *w, int64_t now_us)
 {
   const struct partfeed_ops *o = &w->feed->opts.ops;
 
   if (w->busy || w->feed->stopped || !w->store->configured)
     return;
-  judge (w, now_us);
+  choose_polling (w, now_us);
   w->busy = true;
-  w->asked_us = now_us;
+  w->sent_us = now_us;
   w->listing = w->need_list;
   if (w->listing)
-    o->list (o->ctx, w->store->address, on_news, w);
+    o->list (o->ctx, w->store->address, on_reply, w);
   else
     o->events (o->ctx, w->store->address, w->store->next_event,
-               is_paced (w) ? SHORT_WAIT_US : WAIT_US, on_news, w);
+               is_paced (w) ? PACED_POLL_WAIT_US : POLL_WAIT_US, on_reply, w);
 }
 
 static struct watch *
-watch_of (struct partfeed *f, const struct parts_store *s)
+find_watch (struct partfeed *f, const struct parts_store *s)
 {
   struct watch *w;
 
@@ -317,7 +327,7 @@
   f->stores += s->configured;
   APR_RING_FOREACH (s, &f->opts.parts->stores, parts_store, link)
   {
-    w = watch_of (f, s);
+    w = find_watch (f, s);
     if (w == NULL)
       {
         w = g_new0 (struct watch, 1);
@@ -330,15 +340,15 @@
         APR_RING_ELEM_INIT (w, link);
         APR_RING_INSERT_TAIL (&f->watches, w, watch, link);
       }
-    ask (w, loop_now_us ());
+    start_poll (w, loop_now_us ());
   }
 }
 
 /* --- freeing --------------------------------------------------------- */
 
-/* Events tell of it too, but one in a hundred never comes. */
+/* Events report the removals, too, but one event in a hundred is lost. */
 static void
-forget_freed (struct watch *w)
+remove_freed (struct watch *w)
 {
   guint i;
 
@@ -357,17 +367,17 @@
 
   w->freeing = false;
   if (freed)
-    forget_freed (w);
+    remove_freed (w);
   g_array_set_size (w->freed, 0);
   if (!freed)
     log_event (LOG_LEVEL_INFO, "free", "store=%s outcome=failed",
                w->store->address);
 }
 
-/* Newest version of the model that nobody can have fetched older parts than,
-   at NOW_US; 0 if there is none. */
+/* Newest version of the model such that nobody can be fetching parts of older
+ * versions at NOW_US; 0 if there is none. */
 static int64_t
-safe_version (const struct fleet_wanted *w, int64_t now_us)
+freeable_version (const struct fleet_wanted *w, int64_t now_us)
 {
   int64_t version = 0;
   int i;
@@ -379,21 +389,22 @@
 }
 
 static void
-free_at (struct watch *w, const struct fleet_wanted *wanted, int64_t now_us)
+free_in_store (struct watch *w, const struct fleet_wanted *wanted,
+               int64_t now_us)
 {
   const struct partfeed_ops *o = &w->feed->opts.ops;
   const struct part_stored *list[PARTS_FREE_MAX];
-  int64_t version = safe_version (wanted, now_us);
+  int64_t version = freeable_version (wanted, now_us);
   int n = version == 0 ? 0
                        : parts_outdated (w->store, wanted->model, version,
                                          list, PARTS_FREE_MAX);
   int i;
 
-  if (n == 0 || w->freeing || now_us - w->freed_us < FREE_EVERY_US
+  if (n == 0 || w->freeing || now_us - w->free_sent_us < FREE_INTERVAL_US
       || w->store->clock_ms == 0)
     return;
   w->freeing = true;
-  w->freed_us = now_us;
+  w->free_sent_us = now_us;
   for (i = 0; i < n; i++)
     g_array_append_val (w->freed, *list[i]);
   log_event (
@@ -403,7 +414,7 @@
       w->store->address, n, wanted->model, (gint64)version,
       (gint64)w->store->epoch);
   o->free (o->ctx, w->store->address, w->store->epoch,
-           parts_store_clock_ms (w->store, now_us) + FREE_VOID_MS, list, n,
+           parts_store_clock_ms (w->store, now_us) + FREE_EXPIRY_MS, list, n,
            on_freed, w);
 }
 
@@ -419,12 +430,12 @@
   APR_RING_FOREACH (w, &f->watches, watch, link)
   {
     for (i = 0; i < fleet->wanted->len; i++)
-      free_at (w, &g_array_index (fleet->wanted, struct fleet_wanted, i),
-               now_us);
+      free_in_store (w, &g_array_index (fleet->wanted, struct fleet_wanted, i),
+                     now_us);
   }
 }
 
-/* --- life ------------------------------------------------------------ */
+/* --- lifecycle ------------------------------------------------------- */
 
 struct partfeed *
 partfeed_new (const struct partfeed_opts *opts)
--- a/partfeed.h
+++ b/partfeed.h
@@ -1,6 +1,6 @@
 /*
- * Keeping the directory of stored parts current, by each store's events, and
- * freeing parts of weights that are outdated.
+ * Keeps the directory of stored parts current by long polls for each store's
+ * events, and frees parts of outdated weights.
  */
 #ifndef CQ_PARTFEED_H
 #define CQ_PARTFEED_H
@@ -8,43 +8,45 @@
 #include "loop.h"
 #include "parts.h"
 
-/* One thing a store says. */
+/* An event of a store, or an entry of its list. */
 struct partfeed_event
 {
-  bool stored;             /* whole now; else gone */
-  struct part_stored part; /* which */
+  bool stored;             /* now stored complete; otherwise removed */
+  struct part_stored part; /* the part */
 };
 
 enum partfeed_status
 {
-  PARTFEED_OK,           /* the rest of the news counts */
-  PARTFEED_RATE_LIMITED, /* the store lives, and takes no more calls just now
+  PARTFEED_OK,           /* the other fields of the reply are valid */
+  PARTFEED_RATE_LIMITED, /* the store is alive, but accepts no more calls now
                           */
-  PARTFEED_NO_REPLY      /* no answer, or none that can be read */
+  PARTFEED_NO_REPLY      /* no reply, or one that cannot be parsed */
 };
 
 struct partfeed_reply
 {
-  enum partfeed_status status; /* whether the rest counts */
-  bool events_lost;            /* events are missing before the first below */
-  int64_t epoch;               /* its life */
-  int64_t born_ms;             /* start of that life, Unix time; 0 if unsaid */
-  int64_t next_event;          /* number after the last event */
-  int64_t clock_ms;            /* its clock, 0 if unsaid */
-  GArray *events;              /* struct partfeed_event */
+  enum partfeed_status status; /* the fields below are valid if PARTFEED_OK */
+  bool events_lost; /* events before the first one below were lost */
+  int64_t epoch;    /* the store's incarnation */
+  int64_t born_ms;  /* start of that incarnation, Unix time; 0 if not given */
+  int64_t next_event; /* number after the last event */
+  int64_t clock_ms;   /* the store's clock, 0 if not given */
+  GArray *events;     /* struct partfeed_event */
 };
 
 typedef void (*partfeed_done) (void *arg, const struct partfeed_reply *news);
 
-/* Stores, as an adapter offers them; done is always called, once. */
+/* The stores, as an adapter offers them. DONE is always called exactly once.
+ */
 struct partfeed_ops
 {
-  /* Events from number SINCE on, waited for up to WAIT_US. */
+  /* Long poll: events from number SINCE on, with a wait of up to WAIT_US. */
   void (*events) (void *ctx, const char *address, int64_t since,
                   int64_t wait_us, partfeed_done done, void *arg);
-  /* All that is kept. */
+  /* Read all that is stored. */
   void (*list) (void *ctx, const char *address, partfeed_done done, void *arg);
-  /* Free parts, if the store's life is EPOCH and its clock before UNTIL_MS. */
+  /* Free parts if the store's incarnation is EPOCH and its clock is before
+   * UNTIL_MS. */
   void (*free) (void *ctx, const char *address, int64_t epoch,
                 int64_t until_ms, const struct part_stored **list, int n,
                 void (*done) (void *arg, bool freed), void *arg);
@@ -56,24 +58,24 @@
   struct loop *loop;       /* whose thread runs it */
   struct parts *parts;     /* directory to keep current */
   struct partfeed_ops ops; /* adapter */
-  /* Whether this VM is among the PLACES that come first, of all VMs, for what
-     has digest KEY; NULL if there are no others. */
+  /* Whether this VM is among the first PLACES of all VMs by rendezvous hashing
+   * for KEY; NULL if there are no other VMs. */
   bool (*ranks_within) (void *arg, uint64_t key, int places);
-  void *arg;     /* passed to it */
-  uint64_t seed; /* of pauses */
+  void *arg;     /* passed to ranks_within */
+  uint64_t seed; /* for randomized pauses */
 };
 
 struct partfeed;
 
 struct partfeed *partfeed_new (const struct partfeed_opts *opts);
-/* The configuration changed: follow the stores that it names. */
+/* The configuration changed: follow its stores. */
 void partfeed_take_conf (struct partfeed *f, const struct fleet_conf *c);
-/* Free what is outdated, as far as that is safe at NOW_US. */
+/* Free the parts of outdated weights that nobody can be reading at NOW_US. */
 void partfeed_free_outdated (struct partfeed *f, const struct fleet *fleet,
                              int64_t now_us);
 void partfeed_stop (struct partfeed *f);
 void partfeed_free (struct partfeed *f);
-/* Calls under way. */
+/* Calls in progress. */
 int partfeed_waiting (const struct partfeed *f);
 
 #endif
--- a/parts.c
+++ b/parts.c
@@ -1,4 +1,4 @@
-/* Which parts of prompts are kept whole in which store. */
+/* Directory of the prompt parts whose KV cache is stored complete. */
 #include "parts.h"
 
 #include <stdio.h>
@@ -9,52 +9,58 @@
 #include "decide.h"
 
 /*
- * A fetch is ordered only by knowledge of weights that is at most this old.
- * Long polls renew it every 1.3 s; one that is late by as much again still
- * counts.
+ * A fetch is planned only if the known weight versions are at most this old.
+ * Long polls refresh them every 1.3 s; a poll that takes twice as long is
+ * still in time.
+ */
+#define WEIGHTS_FRESH_MAX_US (2500 * CQ_US_PER_MS)
+/* Parts of outdated weights are still fetched for this long: during a change
+ * of weights, most endpoints have the old ones. */
+#define FETCH_OUTDATED_US (5 * CQ_US_PER_S)
+/* A fetch expires after the time that the request may wait plus
+ * FETCH_EXTRA_MS, and after FETCH_MAX_MS at most: prefilling most parts again
+ * takes less, and a store that has become slow would delay the answer. */
+#define FETCH_EXTRA_MS 250
+#define FETCH_MAX_MS 1000
+/* Later than this after newer weights were named, nobody fetches parts of the
+ * old ones; 700 ms are added for clock differences and the duration of calls.
  */
-#define FETCH_FRESH_US (2500 * CQ_US_PER_MS)
-/* Parts of weights that are outdated are still fetched for this long: while
-   weights change, most endpoints have the old ones. */
-#define FETCH_OLD_US (5 * CQ_US_PER_S)
-/* A fetch is void after what the request may wait and this time, or this long
-   at the most: reading most parts anew takes less, and a store that has
-   turned slow would hold the answer up. */
-#define FETCH_TIME_MS 250
-#define FETCH_VOID_MS 1000
-/* Nobody fetches parts of old weights later than this after newer ones were
-   named, plus what clocks and calls may add. */
 #define FREE_AFTER_US                                                         \
-  (FETCH_OLD_US + FETCH_VOID_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
-/* A store that has not answered for so long is left alone: its polls are up
-   to six seconds apart where many VMs share it. */
-#define STORE_DEAD_US (8 * CQ_US_PER_S)
+  (FETCH_OUTDATED_US + FETCH_MAX_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
+/* A store that has not replied for so long is not used: polls of it are up to
+ * six seconds apart where many VMs share it. */
+#define STORE_SILENT_US (8 * CQ_US_PER_S)
 /*
- * A store that restarts is empty, and does not refuse a fetch of a part that
- * is just being saved again: the request would read half of it.  A VM that has
- * not heard of the restart believes the part to be whole.  So a fetch needs
- * knowledge of the store that is at most this old, and whoever hears of a new
- * life saves nothing there until older knowledge has ended everywhere, with
- * the fetches that it began and what clocks and calls may add.
+ * A store is empty after a restart, and does not refuse to fetch a part that
+ * is just being saved again: the request would read an incomplete part. A VM
+ * that has not detected the restart still considers the part complete. So a
+ * fetch requires that the store's contents were synchronized at most
+ * FETCH_SYNC_AGE_US ago. And a VM that detects a new incarnation saves nothing
+ * there for SETTLE_US: until then older information has expired on all VMs,
+ * with the fetches that were begun by it, and with 700 ms for clock
+ * differences and the duration of calls.
  */
-#define KNOWN_MAX_US (5 * CQ_US_PER_S)
+#define FETCH_SYNC_AGE_US (5 * CQ_US_PER_S)
 #define SETTLE_US                                                             \
-  (KNOWN_MAX_US + FETCH_VOID_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
+  (FETCH_SYNC_AGE_US + FETCH_MAX_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
 /*
- * A VM that has not heard of the restart may itself have a part saved again
- * that others still fetch.  So a save needs knowledge of the store that is at
- * most this old: a store that restarts is away for two seconds and more.  One
- * that is back sooner is not covered.
+ * A VM that has not detected the restart may itself save a part again that
+ * others still fetch. So a save requires that the store's contents were
+ * synchronized at most this long ago: a restarting store is unavailable for at
+ * least two seconds. A faster restart is not covered.
  */
-#define SAVE_KNOWN_US (1500 * CQ_US_PER_MS)
-/* A save that does not show after this time was lost, and is asked again. */
-#define SAVE_AGAIN_US (3 * CQ_US_PER_S)
-/* A transfer costs some ms at a store; prompts that share fewer tokens are
-   read in that time. */
+#define SAVE_SYNC_AGE_US (1500 * CQ_US_PER_MS)
+/* A save that no event has reported after this time was lost, and is requested
+ * again. */
+#define SAVE_RETRY_US (3 * CQ_US_PER_S)
+/* A transfer takes some ms at a store; in that time an engine prefills prompts
+ * that share fewer tokens than this. */
 #define MIN_TOKENS 64
-/* Parts up to this length are small: some ms of transfer. */
+/* Longest part, in tokens, that counts as small: its transfer takes some ms.
+ */
 #define SMALL_TOKENS 2048
-/* Share of a store that is filled: what is being written is not known yet. */
+/* Share of a store's capacity that is filled: parts that are still being
+ * written are not counted yet. */
 #define FILL_PERCENT 95
 
 /* --- names ----------------------------------------------------------- */
@@ -68,7 +74,8 @@
               owner != NULL ? owner : "");
 }
 
-/* Version in a scope of MODEL, or -1. */
+/* Weight version of a scope of MODEL, or -1 if the scope is of another model.
+ */
 static int64_t
 scope_version (const char *scope, const char *model)
 {
@@ -80,7 +87,7 @@
 }
 
 static uint64_t
-key_of (const char *scope, const char *id)
+part_key (const char *scope, const char *id)
 {
   return XXH3_64bits_withSeed (id, strlen (id),
                                XXH3_64bits (scope, strlen (scope)));
@@ -134,7 +141,7 @@
 }
 
 static void
-take_store (struct parts *p, const struct fleet_service *sv)
+add_store (struct parts *p, const struct fleet_service *sv)
 {
   struct parts_store *s = parts_find_store (p, sv->store_address);
 
@@ -159,8 +166,8 @@
   s->configured = true;
 }
 
-/* A store that is listed no more is kept but not used, since a call to it may
-   be under way. */
+/* A store that is no longer configured is kept but not used, since a call to
+ * it may be in progress. */
 void
 parts_take_conf (struct parts *p, const struct fleet_conf *c)
 {
@@ -175,7 +182,7 @@
     {
       p->token_bytes = MAX (p->token_bytes, sv->token_bytes);
       if (sv->store_address != NULL)
-        take_store (p, sv);
+        add_store (p, sv);
     }
 }
 
@@ -226,7 +233,7 @@
 void
 parts_added (struct parts_store *s, const struct part_stored *h)
 {
-  uint64_t key = key_of (h->scope, h->id);
+  uint64_t key = part_key (h->scope, h->id);
   struct part_stored *old = g_hash_table_lookup (s->stored, &key);
 
   s->used_tokens += h->tokens - (old != NULL ? old->tokens : 0);
@@ -237,7 +244,7 @@
 void
 parts_removed (struct parts_store *s, const char *scope, const char *id)
 {
-  uint64_t key = key_of (scope, id);
+  uint64_t key = part_key (scope, id);
   struct part_stored *old = g_hash_table_lookup (s->stored, &key);
 
   if (old == NULL)
@@ -252,31 +259,31 @@
 is_alive (const struct parts_store *s, int64_t now_us)
 {
   return s->configured && s->epoch != 0 && s->clock_ms > 0
-         && s->replied_us != 0 && now_us - s->replied_us < STORE_DEAD_US;
+         && s->replied_us != 0 && now_us - s->replied_us < STORE_SILENT_US;
 }
 
-/* Kept work of a request that is bound to regions stays inside them. */
+/* Stored parts of a request that is bound to regions stay inside them. */
 static bool
-may_use (const struct parts_query *q, const struct parts_store *s)
+may_use_store (const struct parts_query *q, const struct parts_store *s)
 {
   return q == NULL || q->fleet == NULL
          || fleet_is_home (q->fleet, &q->homes, s->domain);
 }
 
-/* A store that holds the part whole; one in DOMAIN before others, since a
-   transfer takes half as long inside a failure domain.  Q, or NULL, says which
-   stores the request may use. */
+/* Find a store that holds the complete part, preferably in DOMAIN, since a
+ * transfer takes half as long inside a failure domain. Q tells which stores
+ * the request may use; NULL for all. */
 static struct parts_store *
-find_held (struct parts *p, const struct parts_query *q, uint64_t key,
-           const struct part *part, const char *domain, int64_t now_us)
+find_stored (struct parts *p, const struct parts_query *q, uint64_t key,
+             const struct part *part, const char *domain, int64_t now_us)
 {
   struct parts_store *s, *best = NULL;
   const struct part_stored *h;
 
   APR_RING_FOREACH (s, &p->stores, parts_store, link)
   {
-    if (!is_alive (s, now_us) || now_us - s->synced_us > KNOWN_MAX_US
-        || !may_use (q, s))
+    if (!is_alive (s, now_us) || now_us - s->synced_us > FETCH_SYNC_AGE_US
+        || !may_use_store (q, s))
       continue;
     h = g_hash_table_lookup (s->stored, &key);
     if (h == NULL || h->tokens < part->tokens)
@@ -292,16 +299,17 @@
 {
   const int64_t *at = g_hash_table_lookup (s->saving, &key);
 
-  return at != NULL && now_us - *at < SAVE_AGAIN_US;
+  return at != NULL && now_us - *at < SAVE_RETRY_US;
 }
 
-/* Room by capacity, so that larger stores get more: rendezvous with weights
-   would need a logarithm, and a draw among all tokens serves as well. */
+/* Rendezvous score that grows with the capacity, so that larger stores get
+ * more parts. Weighted rendezvous hashing would need a logarithm; the maximum
+ * of several hashes serves as well. */
 static uint64_t
-score_of (const struct parts_store *s, uint64_t key)
+rendezvous_score (const struct parts_store *s, uint64_t key)
 {
   uint64_t h = XXH3_64bits_withSeed (s->address, strlen (s->address), key);
-  /* The best of a number of draws that grows with the capacity. */
+  /* The number of hashes grows with the capacity. */
   uint64_t best = 0;
   int64_t i;
 
@@ -314,7 +322,7 @@
   return best;
 }
 
-/* Time that a transfer of a small part holds the store's link. */
+/* Time that the transfer of a small part occupies the store's link. */
 static int64_t
 small_transfer_us (const struct parts *p, const struct parts_store *s)
 {
@@ -325,14 +333,15 @@
 }
 
 /*
- * Small parts are most of the transfers and little of the room: they go where
- * a transfer starts soonest, and large ones where there is room.  Shared out
- * by room alone, a large slow store had so many small transfers on its link
- * that most of its parts were read anew.
+ * Small parts are most of the transfers but take little of the capacity: they
+ * go where a transfer starts soonest, and large ones where there is capacity.
+ * When parts were distributed by capacity alone, a large slow store had so
+ * many small transfers on its link that most of its parts were prefilled
+ * again.
  */
 static bool
-suits (const struct parts *p, const struct parts_store *s,
-       const struct part *part, int64_t fastest_us)
+is_suitable (const struct parts *p, const struct parts_store *s,
+             const struct part *part, int64_t fastest_us)
 {
   bool fast = small_transfer_us (p, s) < 2 * fastest_us;
 
@@ -353,8 +362,8 @@
   return low;
 }
 
-/* The store where the part should be kept: the same one on every VM while
-   there is room, so that two VMs do not keep it twice. */
+/* The store where the part is to be saved: the same one on every VM while it
+ * has capacity, so that two VMs do not store the part twice. */
 static struct parts_store *
 choose_store (struct parts *p, const struct parts_query *q, uint64_t key,
               const struct part *part, int64_t now_us)
@@ -362,25 +371,25 @@
   int64_t fastest = fastest_transfer_us (p, now_us);
   struct parts_store *s, *best = NULL;
   uint64_t score, high = 0;
-  bool suited, best_suited = false;
+  bool suitable, best_suitable = false;
 
   APR_RING_FOREACH (s, &p->stores, parts_store, link)
   {
     if (is_alive (s, now_us) && is_saving (s, key, now_us))
       return NULL;
-    if (!is_alive (s, now_us) || !may_use (q, s)
+    if (!is_alive (s, now_us) || !may_use_store (q, s)
         || now_us < s->no_save_until_us
-        || now_us - s->synced_us > SAVE_KNOWN_US
+        || now_us - s->synced_us > SAVE_SYNC_AGE_US
         || s->used_tokens + part->tokens
                > s->capacity_tokens * FILL_PERCENT / 100)
       continue;
-    score = score_of (s, key);
-    suited = suits (p, s, part, fastest);
-    if (best == NULL || suited > best_suited
-        || (suited == best_suited && score > high))
+    score = rendezvous_score (s, key);
+    suitable = is_suitable (p, s, part, fastest);
+    if (best == NULL || suitable > best_suitable
+        || (suitable == best_suitable && score > high))
       {
         best = s;
-        best_suited = suited;
+        best_suitable = suitable;
         high = score;
       }
   }
@@ -397,18 +406,18 @@
 }
 
 static int64_t
-void_ms (const struct parts_query *q)
+fetch_time_ms (const struct parts_query *q)
 {
-  int64_t ms = FETCH_TIME_MS + q->wait_us / CQ_US_PER_MS;
+  int64_t ms = FETCH_EXTRA_MS + q->wait_us / CQ_US_PER_MS;
 
-  return ms < FETCH_VOID_MS ? ms : FETCH_VOID_MS;
+  return ms < FETCH_MAX_MS ? ms : FETCH_MAX_MS;
 }
 
 static void
 plan_fetch (struct parts_plan *plan, int i, const struct parts_query *q,
             const struct parts_store *s, int64_t now_us)
 {
-  int64_t until = parts_store_clock_ms (s, now_us) + void_ms (q);
+  int64_t until = parts_store_clock_ms (s, now_us) + fetch_time_ms (q);
 
   plan->fetch[i] = s->address;
   plan->fetch_tokens += q->list[i].tokens;
@@ -416,17 +425,18 @@
     plan->fetch_deadline_ms = until;
 }
 
-/* Old weights: only by a VM that knows when they can have been outdated, and
-   only for a while; what they make is not worth a place any more. */
+/* Whether parts may be fetched. Parts of outdated weights are fetched only for
+ * a while, and only by a VM that knows the earliest time at which the weights
+ * became outdated. */
 static bool
 may_fetch (const struct parts_query *q, int64_t now_us)
 {
   if (q->weights_fresh_us == 0
-      || now_us - q->weights_fresh_us > FETCH_FRESH_US)
+      || now_us - q->weights_fresh_us > WEIGHTS_FRESH_MAX_US)
     return false;
   return !q->outdated
          || (q->outdated_since_us != 0
-             && now_us - q->outdated_since_us < FETCH_OLD_US);
+             && now_us - q->outdated_since_us < FETCH_OUTDATED_US);
 }
 
 int64_t
@@ -438,15 +448,15 @@
   int i;
 
   for (i = 0; i < n && i < PARTS_MAX; i++)
-    if (find_held (p, NULL, key_of (scope, list[i].id), &list[i], domain,
-                   now_us)
+    if (find_stored (p, NULL, part_key (scope, list[i].id), &list[i], domain,
+                     now_us)
         != NULL)
       all += list[i].tokens;
   return all;
 }
 
-/* Tokens of the parts that others share; the last part is the request's own,
-   and nobody asks for it again. */
+/* Tokens of the shared parts; the last part belongs to this request alone and
+ * is not requested again. */
 static int64_t
 shared_tokens (const struct parts_query *q)
 {
@@ -459,10 +469,11 @@
 }
 
 /*
- * Small parts too: a part is of use only if all parts before it are there, and
- * where a head of 55 tokens was left to chance, 246 behind it that had been
- * fetched were read again.  Shared tokens read again fell by a third (2.2 of
- * 3.4 million on a day of 34 s and 10,600 such requests).
+ * Small parts are planned, too. A part is of use only if all parts before it
+ * are present: without a head of 55 tokens that was not planned, 246 fetched
+ * tokens behind it were prefilled again. Planning small parts reduced the
+ * shared tokens that are prefilled again by a third (from 3.4 to 2.2 million
+ * in a day of 34 s and 10,600 such requests).
  */
 void
 parts_plan (struct parts *p, const struct parts_query *q, int64_t now_us,
@@ -477,8 +488,8 @@
     return;
   for (i = 0; i < q->nparts - 1 && i < PARTS_MAX; i++)
     {
-      key = key_of (q->scope, q->list[i].id);
-      s = find_held (p, q, key, &q->list[i], q->domain, now_us);
+      key = part_key (q->scope, q->list[i].id);
+      s = find_stored (p, q, key, &q->list[i], q->domain, now_us);
       if (s != NULL)
         {
           plan_fetch (plan, i, q, s, now_us);
--- a/parts.h
+++ b/parts.h
@@ -1,13 +1,15 @@
 /*
- * Which parts of prompts are kept whole in which store, and what follows for
- * a request: which parts to fetch, which to save, and where.
+ * Directory of the prompt parts whose KV cache is stored complete, by store,
+ * and the plan of a request that follows from it: which parts to fetch, which
+ * to save, and where.
  *
- * Stores drop nothing by themselves and check nothing, so safety is here: a
- * part is fetched only while it is known to be whole and its weights are the
- * newest by knowledge that is fresh, and each fetch is void after a deadline
- * on the stores' own clock.  So some seconds after newer weights were named
- * nobody can be reading parts of the old ones, and they may be freed, without
- * a word between VMs.  Everything here is pure.
+ * Stores evict nothing by themselves and check nothing, so this module ensures
+ * safety. A part is fetched only while it is known to be complete and while
+ * recent information says that its weights are the newest, and each fetch
+ * expires at a deadline on the store's own clock. So some seconds after newer
+ * weights were named nobody can still be reading parts of the old ones, and
+ * they may be freed without any coordination between VMs. Everything here is
+ * pure.
  */
 #ifndef CQ_PARTS_H
 #define CQ_PARTS_H
@@ -20,24 +22,24 @@
 
 #include "fleet.h"
 
-#define PARTS_MAX 16        /* parts of one prompt that are looked at */
-#define PARTS_ID_SIZE 40    /* bytes of a part's id with its NUL */
-#define PARTS_SCOPE_SIZE 96 /* bytes of a scope with its NUL */
+#define PARTS_MAX 16        /* parts of one prompt that are considered */
+#define PARTS_ID_SIZE 40    /* size of a part's id, including its NUL */
+#define PARTS_SCOPE_SIZE 96 /* size of a scope's name, including its NUL */
 #define PARTS_FREE_MAX 200  /* parts freed in one call */
 
-/* A part of a prompt, in the prompt's order. */
+/* A part of a prompt; arrays of parts are in the prompt's order. */
 struct part
 {
-  char id[PARTS_ID_SIZE]; /* the caller's name for its content */
-  int64_t tokens;         /* its length */
+  char id[PARTS_ID_SIZE]; /* caller's identifier of its content */
+  int64_t tokens;         /* its length in tokens */
 };
 
-/* A part that a store holds whole. */
+/* A part that a store holds complete. */
 struct part_stored
 {
-  char scope[PARTS_SCOPE_SIZE]; /* weights and owner that it was made under */
+  char scope[PARTS_SCOPE_SIZE]; /* weights and owner it was computed for */
   char id[PARTS_ID_SIZE];       /* its id */
-  int64_t tokens;               /* kept of it */
+  int64_t tokens;               /* stored tokens of it */
 };
 
 /* A store as this VM knows it. */
@@ -45,85 +47,90 @@
 {
   APR_RING_ENTRY (parts_store) link; /* in the directory's list */
   char address[FLEET_NAME_SIZE];     /* IP:PORT */
-  char domain[FLEET_NAME_SIZE];      /* failure domain it stands in */
-  int64_t capacity_tokens;           /* tokens it has room for */
-  int64_t link_mbit_s;               /* of its link */
-  int64_t transfer_latency_us;       /* that each transfer waits in addition */
-  int64_t epoch;                     /* its life; 0: not known */
-  int64_t last_epoch;                /* its last life that was known */
-  int64_t born_ms;                   /* start of that life, 0 if unsaid */
-  int64_t no_save_until_us;          /* nothing is saved before, see parts.c */
-  int64_t synced_us;                 /* what it holds was current then */
-  int64_t next_event;                /* number of its next event */
-  int64_t used_tokens;               /* tokens known or asked to be kept */
-  int64_t replied_us;                /* it answered last; 0 for never */
-  int64_t clock_ms;                  /* its clock, when it said so last */
-  int64_t clock_us;                  /* when that was */
-  GHashTable *stored;                /* key to struct part_stored */
-  GHashTable *saving;                /* key to when a save was asked for */
-  bool configured;                   /* still in the configuration */
-  int calls_max;                     /* that it holds at once; 0 if unsaid */
-  bool continuous;                   /* it is polled without a pause */
+  char domain[FLEET_NAME_SIZE];      /* its failure domain */
+  int64_t capacity_tokens;           /* its capacity */
+  int64_t link_mbit_s;               /* bandwidth of its link */
+  int64_t transfer_latency_us;       /* added latency of each transfer */
+  int64_t epoch;                     /* its incarnation; 0: not known */
+  int64_t last_epoch;                /* the last incarnation that was known */
+  int64_t born_ms; /* start of the incarnation, Unix time; 0 if not given */
+  int64_t no_save_until_us; /* nothing is saved before; see SETTLE_US */
+  int64_t synced_us;        /* stored was current at that time */
+  int64_t next_event;       /* number of its next event */
+  int64_t used_tokens;      /* tokens known to be stored */
+  int64_t
+      replied_us; /* time of its last reply; 0 for never, or if unreachable */
+  int64_t clock_ms;   /* its clock in its last reply that gave it */
+  int64_t clock_us;   /* when that reply came */
+  GHashTable *stored; /* key to struct part_stored */
+  GHashTable *saving; /* key to when a save was requested */
+  bool configured;    /* still in the configuration */
+  int calls_max;      /* concurrent calls it accepts; 0 if not given */
+  bool continuous;    /* it is polled without pauses */
 };
 
 struct parts
 {
   APR_RING_HEAD (parts_ring, parts_store) stores; /* all stores */
-  int64_t token_bytes; /* of the largest token that engines keep */
-  int64_t min_tokens;  /* prompts that share fewer are not worth a transfer */
+  int64_t token_bytes; /* bytes of a token's KV cache, the largest of all
+                          engines */
+  int64_t min_tokens; /* prompts that share fewer tokens are not transferred */
 };
 
-/* Where each part of one request is to be fetched from and saved to; NULL for
-   nowhere.  Addresses stay valid until the directory changes. */
+/* Addresses of the stores that each part of one request is fetched from and
+ * saved to; NULL for none. Addresses stay valid until the directory changes.
+ */
 struct parts_plan
 {
   const char *fetch[PARTS_MAX]; /* by part */
   const char *save[PARTS_MAX];  /* by part */
   int nfetch;                   /* entries set in fetch */
   int nsave;                    /* entries set in save */
-  int64_t fetch_tokens;         /* of these */
-  int64_t fetch_deadline_ms;    /* fetches are void then, stores' clock */
+  int64_t fetch_tokens;         /* tokens of the parts in fetch */
+  int64_t fetch_deadline_ms;    /* fetches expire then, on the stores' clock */
 };
 
 void parts_init (struct parts *p);
 void parts_clear (struct parts *p);
 
-/* Take over the stores of a configuration. */
+/* Apply the stores of a configuration. */
 void parts_take_conf (struct parts *p, const struct fleet_conf *c);
 struct parts_store *parts_find_store (struct parts *p, const char *address);
 
-/* A store answered at NOW_US; CLOCK_MS is 0 if it said nothing of its clock.
- */
+/* A store replied at NOW_US; CLOCK_MS is its clock, 0 if not given. */
 void parts_store_replied (struct parts_store *s, int64_t clock_ms,
                           int64_t now_us);
-/* It did not answer: it is left alone until it does. */
+/* It did not reply: it is not used until it does. */
 void parts_store_unreachable (struct parts_store *s);
-/* Its clock now, at the earliest. */
+/* Lower bound of its clock now, in milliseconds. */
 int64_t parts_store_clock_ms (const struct parts_store *s, int64_t now_us);
-/* It restarted, or its history has a gap: nothing is known of it. */
+/* It restarted, or events were lost: discard what is known of its contents. */
 void parts_store_reset (struct parts_store *s, int64_t epoch, int64_t next,
                         int64_t now_us);
-/* What is known of it was current at AT_US. */
+/* What is known of its contents was current at AT_US. */
 void parts_store_synced (struct parts_store *s, int64_t at_us);
 void parts_added (struct parts_store *s, const struct part_stored *h);
 void parts_removed (struct parts_store *s, const char *scope, const char *id);
 
-/* What is known when a request's parts are planned. */
+/* Input of a request's plan. */
 struct parts_query
 {
   const char *scope;         /* of the request */
-  const struct part *list;   /* its prompt's parts; the last is its own */
+  const struct part *list;   /* its prompt's parts; the last is not shared */
   int nparts;                /* entries in list */
   const char *domain;        /* of its endpoint */
-  int64_t weights_fresh_us;  /* knowledge of weights was current then */
-  bool outdated;             /* newer weights than its own were named */
-  int64_t outdated_since_us; /* not before that time; 0: not known */
-  int64_t wait_us;           /* it may wait for so long before it begins */
-  const struct fleet *fleet; /* knows regions; NULL: stores of all do */
-  struct fleet_homes homes;  /* regions that the request may use */
+  int64_t weights_fresh_us;  /* time at which the weight versions known here
+                                were current */
+  bool outdated;             /* newer weights than its own have been named */
+  int64_t outdated_since_us; /* newer weights were not named before; 0: not
+                                known */
+  int64_t wait_us;           /* how long it may wait before it begins */
+  const struct fleet
+      *fleet; /* knows regions; NULL: stores of all regions may be used */
+  struct fleet_homes homes; /* regions that the request may use */
 };
 
-/* Tokens of the N parts in LIST that stores hold whole. */
+/* Tokens of the N parts in LIST that stores hold complete. */
 int64_t parts_stored_tokens (struct parts *p, const char *scope,
                              const struct part *list, int n,
                              const char *domain, int64_t now_us);
@@ -131,13 +138,16 @@
 void parts_plan (struct parts *p, const struct parts_query *q, int64_t now_us,
                  struct parts_plan *plan);
 
-/* Whether parts of weights outdated since HEARD_US may be freed. */
+/* Whether parts of weights that this VM has known to be outdated since
+ * OUTDATED_US may be freed. */
 bool parts_may_free (int64_t outdated_us, int64_t now_us);
-/* Parts in S of MODEL's weights older than VERSION; returns how many. */
+/* Fill LIST with up to MAX parts in S of MODEL's weights older than VERSION,
+ * which stay owned by S; returns their number. */
 int parts_outdated (const struct parts_store *s, const char *model,
                     int64_t version, const struct part_stored **list, int max);
 
-/* Name of the scope of a model's weights; OWNER NULL shares among all. */
+/* Write the name of the scope of a model's weights to TO, of PARTS_SCOPE_SIZE
+ * bytes; with OWNER NULL all workspaces share it. */
 void parts_scope_name (char *to, const char *model, int64_t version,
                        const char *owner);
 
