--- a/evac.c
+++ b/evac.c
@@ -47,7 +47,7 @@
 }
 
 /* Mark the domain's endpoints as cold: they may have become cold just before
- * the evacuation ended, and their entries show that only a heartbeat later. */
+   the evacuation ended, and their entries show that only a heartbeat later. */
 static void
 mark_cold (struct fleet *f, const char *domain, int64_t now_us)
 {
@@ -85,8 +85,8 @@
 }
 
 /* A store that was restored from an older copy lacks the row until the
- * operator has written it again, so the evacuation may only be doubted at
- * first. */
+   operator has written it again, so the evacuation may only be doubted at
+   first. */
 void
 evac_not_listed (struct fleet *f, const char *domain, int64_t now_us)
 {
--- a/evac.h
+++ b/evac.h
@@ -1,6 +1,6 @@
 /*
  * Evacuated failure domains: the operator has stopped all new requests to
- * their endpoints. Running requests continue, and orders to the endpoints are
+ * their endpoints.  Running requests continue, and orders to the endpoints are
  * still sent.
  */
 #ifndef CQ_EVAC_H
--- a/follow.c
+++ b/follow.c
@@ -9,55 +9,55 @@
 #include "met.h"
 
 /*
- * Longest wait of a poll. While nothing changes, the settings also get this
- * old. So it must stay well under the age past which API keys are no longer
+ * Longest wait of a poll.  While nothing changes, the settings also get this
+ * old.  So it must stay well under the age past which API keys are no longer
  * accepted (seconds), and under the age past which the VM no longer denies
  * requests on the basis of its settings.
  */
 #define OPERATOR_WAIT_US (2200 * CQ_US_PER_MS)
 /* Shortest wait of a poll, used after a reply that took so long that its
- * content was old when it arrived. A poll without a wait would report nothing
- * more, and might be repeated immediately. */
+   content was old when it arrived.  A poll without a wait would report nothing
+   more, and might be repeated immediately. */
 #define OPERATOR_WAIT_MIN_US (100 * CQ_US_PER_MS)
 #define ENDPOINTS_WAIT_US (2000 * CQ_US_PER_MS)
 /* Time for a reply to begin, in addition to the wait: twice sixty times the
- * platform's usual 4 ms. With the wait, a lost poll ends after at most 2.7 s,
- * and two or three more fit in before the settings are too old to accept keys.
- */
+   platform's usual 4 ms.  With the wait, a lost poll ends after at most 2.7 s,
+   and two or three more fit in before the settings are too old to accept
+   keys. */
 #define REPLY_BEGIN_US (500 * CQ_US_PER_MS)
 /*
- * Minimum interval between the starts of two polls for endpoints. With 145
+ * Minimum interval between the starts of two polls for endpoints.  With 145
  * endpoints some entry changes every quarter of a second, and each change
- * ended a poll of each VM: 375 calls a second from 78 VMs. It is enough to
+ * ended a poll of each VM: 375 calls a second from 78 VMs.  It is enough to
  * learn of a change within a second, since an endpoint that is leaving
  * continues to work for at least two seconds.
  */
 #define ENDPOINTS_INTERVAL_US (1000 * CQ_US_PER_MS)
 #define READ_BEGIN_US (900 * CQ_US_PER_MS)
 /*
- * Longest pause between two bytes of a reply that has begun. On a link of 10
+ * Longest pause between two bytes of a reply that has begun.  On a link of 10
  * Mbit/s 4 KB take 3 ms, and ten times that when the link is crowded with
  * requests; a lost packet is retransmitted after 200 ms.
  */
 #define STALL_US (500 * CQ_US_PER_MS)
 /*
- * Size limit of a reply. A route takes some 300 bytes on the wire. The limit
+ * Size limit of a reply.  A route takes some 300 bytes on the wire.  The limit
  * is due to the transfer time on a small link, not to memory.
  */
 #define REPLY_MAX_BYTES 4194304
 /*
- * Pieces of a reply parsed in one iteration of the event loop. Parsing
+ * Pieces of a reply parsed in one iteration of the event loop.  Parsing
  * thousands of routes at once would block the loop for most of a second on a
  * small VM, and callers that hang up meanwhile would be noticed too late.
  */
 #define PIECES_PER_TURN 40
 /* Link of the smallest VMs, 10 Mbit/s, of which requests may take half. */
 #define LINK_MIN_BYTES_S (10 * 1000 * 1000 / 8 / 2)
-/* Time for a whole reply: 6.7 s. A reply that takes longer is abandoned. */
+/* Time for a whole reply: 6.7 s.  A reply that takes longer is abandoned. */
 #define REPLY_TOTAL_US (REPLY_MAX_BYTES * CQ_US_PER_S / LINK_MIN_BYTES_S)
 /* Backoff after a failed call, doubled up to the maximum, with a random
- * addition of up to the same length: all VMs lose the platform at the same
- * moment, and must not all return at the same moment. */
+   addition of up to the same length: all VMs lose the platform at the same
+   moment, and must not all return at the same moment. */
 #define PAUSE_FIRST_US (60 * CQ_US_PER_MS)
 #define PAUSE_MAX_US (500 * CQ_US_PER_MS)
 /* Entries of live endpoints lapse only after an outage longer than this. */
@@ -190,7 +190,7 @@
 }
 
 /* A delayed write of an earlier incarnation may overwrite the entry of the
- * current one, until the current one writes again. */
+   current one, until the current one writes again. */
 static void
 log_stale_listing (const struct fleet_endpoint *e,
                    const struct follow_item *it, enum fleet_life life)
@@ -240,7 +240,7 @@
 }
 
 /* An entry that expired while the list could not be read is at first only
- * doubted, not removed. */
+   doubted, not removed. */
 static void
 apply_removed (struct fleet *f, struct fleet_endpoint *e, const char *reason,
                int64_t now_us)
@@ -255,9 +255,9 @@
 }
 
 /*
- * An invalid row: written by another writer, or unparsable. It describes no
+ * An invalid row: written by another writer, or unparsable.  It describes no
  * endpoint, so the endpoint that was listed under its key is treated as
- * removed; if it is alive, it writes its entry again within a heartbeat. All
+ * removed; if it is alive, it writes its entry again within a heartbeat.  All
  * other rows of the reply are applied.
  */
 static void
@@ -336,8 +336,8 @@
   return false;
 }
 
-/* End the evacuations that a full read did not return: their end was missed.
- */
+/* End the evacuations that a full read did not return: their end was
+   missed. */
 static void
 end_unlisted_evacuations (struct fleet *f, const struct follow_reply *n,
                           int64_t now_us)
@@ -354,7 +354,7 @@
 }
 
 /* Remove the endpoints that a full read did not return: their removal was
- * missed. */
+   missed. */
 static void
 remove_unlisted_endpoints (struct fleet *f, const struct follow_reply *n,
                            int64_t now_us)
@@ -371,14 +371,14 @@
 }
 
 /*
- * Earliest time at which the content of a reply was current. The reply carries
- * the platform's clock. A call that was sent at local time A and answered with
- * platform time M proves that M is not before A; from that bound on the clock
- * offset any other platform time is converted to local time. The local send
- * time would also be a valid bound, but after a poll that waited for two
- * seconds it is two seconds old, and code that must not use old settings would
- * have none. The result is never after the arrival of the reply, however long
- * the reply took to parse.
+ * Earliest time at which the content of a reply was current.  The reply
+ * carries the platform's clock.  A call that was sent at local time A and
+ * answered with platform time M proves that M is not before A; from that bound
+ * on the clock offset any other platform time is converted to local time.  The
+ * local send time would also be a valid bound, but after a poll that waited
+ * for two seconds it is two seconds old, and code that must not use old
+ * settings would have none.  The result is never after the arrival of the
+ * reply, however long the reply took to parse.
  */
 static int64_t
 reply_current_at (struct follow *f, const struct stream *s,
@@ -399,7 +399,7 @@
 }
 
 /* Log one line for all invalid rows of a reply: rows that stay invalid are
- * returned by each full read, however many they are. */
+   returned by each full read, however many they are. */
 static void
 log_invalid (const struct stream *s, const struct follow_reply *n)
 {
@@ -460,12 +460,12 @@
 
 /*
  * The store was restored from an older copy, so versions went back and are
- * assigned again. If polls continued after a version of the previous era, this
- * VM would miss each change with a lower version, and a revoked key would stay
- * valid indefinitely. So everything is read again, and versions of the
- * previous era are no longer used. Entries that the copy lacks are doubted for
- * a while, not removed, since endpoints write them again. Settings older than
- * those in force are rejected by the operators' own version number.
+ * assigned again.  If polls continued after a version of the previous era,
+ * this VM would miss each change with a lower version, and a revoked key would
+ * stay valid indefinitely.  So everything is read again, and versions of the
+ * previous era are no longer used.  Entries that the copy lacks are doubted
+ * for a while, not removed, since endpoints write them again.  Settings older
+ * than those in force are rejected by the operators' own version number.
  */
 static void
 begin_era (struct follow *f, int64_t era, int64_t now_us)
@@ -489,9 +489,9 @@
 }
 
 /*
- * Whether a reply may be applied. A delayed reply of the previous era would
+ * Whether a reply may be applied.  A delayed reply of the previous era would
  * bring back state that is no longer stored; a reply to a poll after a version
- * of the previous era omits the changes in between. A store that gives no era
+ * of the previous era omits the changes in between.  A store that gives no era
  * has only one.
  */
 static bool
@@ -527,10 +527,10 @@
 }
 
 /*
- * Whether the next call may be a poll again. A poll returns all changes after
+ * Whether the next call may be a poll again.  A poll returns all changes after
  * a version or reports that it cannot, so nothing is lost if one stays
- * unanswered. Reading all settings again would cost each VM 1.6 MB, more than
- * a second of a small link, after each short outage. If the reply to a poll
+ * unanswered.  Reading all settings again would cost each VM 1.6 MB, more than
+ * a second of a small link, after each short outage.  If the reply to a poll
  * was too large, a full read may be smaller, since it holds each row once.
  * Entries of endpoints expire during an outage, and only a full read shows
  * which.
--- a/follow.h
+++ b/follow.h
@@ -1,7 +1,7 @@
 /*
  * Follows the state that the platform stores: the operators' configuration and
- * weight versions, and the list of endpoints. Each is read once as a whole and
- * then kept current by long polls for changes.
+ * weight versions, and the list of endpoints.  Each is read once as a whole
+ * and then kept current by long polls for changes.
  */
 #ifndef CQ_FOLLOW_H
 #define CQ_FOLLOW_H
@@ -69,7 +69,7 @@
   GArray *items;       /* struct follow_item */
 };
 
-typedef void (*follow_done) (void *arg, const struct follow_reply *news);
+typedef void (*follow_done) (void *arg, const struct follow_reply *reply);
 
 /* Limits of a call, or of each page of its reply. */
 struct follow_limits
@@ -81,8 +81,8 @@
   int pieces_per_turn; /* pieces (routes, rows) parsed in one loop iteration */
 };
 
-/* The platform, as an adapter offers it. DONE is always called exactly once.
- */
+/* The platform, as an adapter offers it.  DONE is always called exactly
+   once. */
 struct follow_ops
 {
   /* Read the whole current state. */
@@ -103,7 +103,7 @@
   struct follow_ops ops; /* adapter */
   uint64_t seed;         /* for randomized pauses */
   /* Age below which the operators' settings are kept while the platform is
-   * reachable. */
+     reachable. */
   int64_t max_age_us;
   /* Called after each reply that was applied; may be NULL. */
   void (*on_change) (void *arg, int64_t now_us);
@@ -118,10 +118,10 @@
 void follow_stop (struct follow *f);
 void follow_free (struct follow *f);
 /* How long a poll for the operators' changes may wait if the settings have age
- * AGE_US when it is sent and must stay younger than CURRENT_US. */
+   AGE_US when it is sent and must stay younger than CURRENT_US. */
 int64_t follow_poll_wait_us (int64_t current_us, int64_t age_us);
 /* The platform's clock in milliseconds, never behind it; 0 until a reply has
- * given it. */
+   given it. */
 int64_t follow_clock_ms (const struct follow *f, int64_t now_us);
 /* Newest era of the platform's store that was seen; 0 if it gives none. */
 int64_t follow_era (const struct follow *f);
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -14,44 +14,44 @@
 #include "met.h"
 
 /* Delay before a change is sent, so that changes close together share one
- * message. A message takes 2 ms to arrive, and the prefill of a long prompt
- * takes 100 ms. */
+   message.  A message takes 2 ms to arrive, and the prefill of a long prompt
+   takes 100 ms. */
 #define SEND_DELAY_US (5 * CQ_US_PER_MS)
 /* Interval between messages without a change, while there is work and while
- * there is none. Receivers discard load that is older than 1.5 s. */
+   there is none.  Receivers discard load that is older than 1.5 s. */
 #define RESEND_US (500 * CQ_US_PER_MS)
 #define IDLE_RESEND_US (2000 * CQ_US_PER_MS)
 /*
  * VMs that a VM sends its messages to, so that its cost does not grow with
- * their number; those of its own failure domain come first. Where there are
+ * their number; those of its own failure domain come first.  Where there are
  * more VMs than this, endpoints of the own domain are preferred, so VMs of
- * other domains have little work there. If the domain itself has more VMs than
- * this, each VM receives messages of a part of them, selected by a hash of the
- * names, and extrapolates from these.
+ * other domains have little work there.  If the domain itself has more VMs
+ * than this, each VM receives messages of a part of them, selected by a hash
+ * of the names, and extrapolates from these.
  */
 #define RECIPIENTS_MAX 24
 /* A VM that has been silent for this long gets only every SILENT_SEND_EVERY-th
- * message: it may no longer exist, and nothing reports that. */
+   message: it may no longer exist, and nothing reports that. */
 #define SILENT_US (6 * CQ_US_PER_S)
 #define SILENT_SEND_EVERY 8
-/* Pause between reads of the roster, doubled up to the longest. The first
- * reads follow soon, since all VMs start together; later ones only find VMs
- * that never sent a message. */
+/* Pause between reads of the roster, doubled up to the longest.  The first
+   reads follow soon, since all VMs start together; later ones only find VMs
+   that never sent a message. */
 #define LIST_PAUSE_FIRST_US (500 * CQ_US_PER_MS)
 #define LIST_PAUSE_MAX_US (60 * CQ_US_PER_S)
 /* After the store was restored from an older copy all VMs write their rows
- * again; their writes are spread over this time. */
+   again; their writes are spread over this time. */
 #define RESTORE_SPREAD_US (2 * CQ_US_PER_S)
 /* Consecutive reads of the roster, the longest pause apart, in which a VM has
- * not written its row. After the first number the VM is left out when work and
- * rates are divided; after the second its row is removed. Live VMs write
- * before each such read. */
+   not written its row.  After the first number the VM is left out when work
+   and rates are divided; after the second its row is removed.  Live VMs write
+   before each such read. */
 #define INACTIVE_READS 5
 #define EXPIRED_READS 10
 /* A failed write of the row is retried after 0.5 to 1.5 times this. */
 #define WRITE_RETRY_US (500 * CQ_US_PER_MS)
 /* Limit of known VMs: anybody can send datagrams with any number of invented
- * names. */
+   names. */
 #define VMS_MAX 4096
 /* Datagrams received in one iteration of the event loop. */
 #define DATAGRAMS_PER_TURN 64
@@ -63,10 +63,9 @@
   apr_sockaddr_t *to;    /* its address */
   bool near;             /* in this VM's failure domain: gets messages first */
   uint64_t rank; /* rendezvous hash with this VM; the lowest get messages */
-  int64_t received_us; /* time of its last message; 0 for never */
-  int64_t listed_us;   /* when this VM added it */
-  bool
-      listed; /* it was in the roster; otherwise only its messages are known */
+  int64_t received_us;   /* time of its last message; 0 for never */
+  int64_t listed_us;     /* when this VM added it */
+  bool listed;           /* in the roster once; else messages only */
   bool in_list;          /* it is in the roster that was read last */
   struct roster_age age; /* of its row; valid if listed */
 };
@@ -190,9 +189,9 @@
               all > RECIPIENTS_MAX);
 }
 
-/* Add the VM of ROW, which is listed or sent a message. If it is known under
- * another address, it has restarted there, and messages go to the new address.
- */
+/* Add the VM of ROW, which is listed or sent a message.  If it is known under
+   another address, it has restarted there, and messages go to the new
+   address. */
 static struct peer *
 add_peer (struct loadgossip *t, const struct roster_row *row,
           const char *source, int64_t now_us)
@@ -410,8 +409,8 @@
   t->listed |= strcmp (row->vm, t->self.vm) == 0;
 }
 
-/* Only the VM that ranks first for the row removes it, so that not all VMs do.
- */
+/* Only the VM that ranks first for the row removes it, so that not all VMs
+   do. */
 static void
 remove_row (struct loadgossip *t, const struct peer *l)
 {
@@ -522,7 +521,7 @@
 }
 
 /* Once the pause has reached its maximum, the row is written before each read,
- * as a heartbeat of this VM. */
+   as a heartbeat of this VM. */
 static void
 on_list_timer (void *arg, int64_t now_us)
 {
@@ -553,9 +552,9 @@
   return XXH3_64bits_withSeed (vm, strlen (vm), key);
 }
 
-/* Number of listed VMs that rank before this one for KEY. A VM that only sent
- * messages does not count: otherwise anybody who can send datagrams could take
- * work and rates away from listed VMs. */
+/* Number of listed VMs that rank before this one for KEY.  A VM that only sent
+   messages does not count: otherwise anybody who can send datagrams could take
+   work and rates away from listed VMs. */
 static int
 own_rank (const struct loadgossip *t, uint64_t key)
 {
--- a/loadgossip.h
+++ b/loadgossip.h
@@ -20,18 +20,18 @@
 };
 
 /* LIST holds struct roster_row; it is NULL if the platform did not reply or
- * its reply could not be parsed. */
+   its reply could not be parsed. */
 typedef void (*roster_done) (void *arg, const GArray *list);
 
-/* The roster on the platform, as an adapter offers it. DONE is called exactly
- * once. */
+/* The roster on the platform, as an adapter offers it.  DONE is called exactly
+   once. */
 struct roster_ops
 {
   void (*write) (void *ctx, const struct roster_row *self,
                  void (*done) (void *arg, bool written), void *arg);
   void (*read) (void *ctx, roster_done done, void *arg);
   /* Remove the row of VM if its version is still VERSION; the result is not
-   * reported. */
+     reported. */
   void (*remove) (void *ctx, const char *vm, int64_t version);
   void *ctx; /* passed to all */
 };
@@ -43,9 +43,9 @@
   int unchanged;   /* consecutive reads that returned it */
 };
 
-/* Record that a read returned the row at VERSION. STEADY: so much time has
- * passed since the previous read that a live VM has written its row again.
- * Pure, as are the next two. */
+/* Record that a read returned the row at VERSION.  STEADY: so much time has
+   passed since the previous read that a live VM has written its row again.
+   Pure, as are the next two. */
 void roster_note_version (struct roster_age *a, int64_t version, bool steady);
 /* Whether the VM counts when work and rates are divided among VMs. */
 bool roster_is_active (const struct roster_age *a);
@@ -60,7 +60,7 @@
   void *ctx;                     /* passed to the callback above */
   struct load_table *load_table; /* receives the load of other VMs */
   /* Handle a datagram of another kind; false if it is not of that kind either.
-   * May be NULL. */
+     May be NULL. */
   bool (*on_other_datagram) (void *ctx, const char *data, size_t len,
                              int64_t now_us);
   void *on_other_ctx;    /* passed to the callback above */
@@ -74,12 +74,12 @@
 struct loadgossip;
 
 /* Returns NULL if the socket cannot be bound to the address; the caller frees
- * the result by loadgossip_free. */
+   the result by loadgossip_free. */
 struct loadgossip *loadgossip_new (const struct loadgossip_opts *opts);
 /* This VM's work at an endpoint changed: a message is sent within some ms. */
 void loadgossip_load_changed (struct loadgossip *t, int64_t now_us);
 /* The platform's store was restored from an older copy, which may lack this
- * VM's row. */
+   VM's row. */
 void loadgossip_store_restored (struct loadgossip *t, int64_t now_us);
 /* Send a datagram of another kind to the VMs that get this VM's messages. */
 void loadgossip_send (struct loadgossip *t, const GByteArray *datagram);
@@ -87,29 +87,29 @@
 void loadgossip_stop (struct loadgossip *t);
 void loadgossip_free (struct loadgossip *t);
 /* This VM's share of RATE, the requests a second that the cold endpoint with
- * key ENDPOINT accepts from all VMs. Shares are divided among the VMs of the
- * roster; 0 until this VM has read its own row there. */
+   key ENDPOINT accepts from all VMs.  Shares are divided among the VMs of the
+   roster; 0 until this VM has read its own row there. */
 int loadgossip_cold_share (const struct loadgossip *t, uint64_t endpoint,
                            int rate);
 /* Interval in microseconds between this VM's requests to the endpoint with key
- * ENDPOINT, which accepts MILLI requests in 1000 s from all VMs. It is
- * computed from the same roster and from CLOCK_MS, the platform's clock; 0 if
- * this VM has no share now. */
+   ENDPOINT, which accepts MILLI requests in 1000 s from all VMs.  It is
+   computed from the same roster and from CLOCK_MS, the platform's clock; 0 if
+   this VM has no share now. */
 int64_t loadgossip_limit_interval (const struct loadgossip *t,
                                    uint64_t endpoint, int64_t milli,
                                    int64_t clock_ms);
 /* Whether this VM is among the first PLACES VMs of the roster by rendezvous
- * hashing for KEY; true until this VM has read its own row there. */
+   hashing for KEY; true until this VM has read its own row there. */
 bool loadgossip_ranks_within (const struct loadgossip *t, uint64_t key,
                               int places);
 /* Whether this VM is the first of the roster by rendezvous hashing for KEY;
- * false until it has read its own row there. */
+   false until it has read its own row there. */
 bool loadgossip_ranks_first (const struct loadgossip *t, uint64_t key);
 /* Calls to the platform in progress. */
 int loadgossip_waiting (const struct loadgossip *t);
 
-/* Encode and decode a message; pure. The caller frees the encoded bytes;
- * decoding returns false if DATA is not a valid message. */
+/* Encode and decode a message; pure.  The caller frees the encoded bytes;
+   decoding returns false if DATA is not a valid message. */
 GByteArray *loadgossip_encode (const struct load_gossip *w);
 bool loadgossip_decode (const char *data, size_t len, struct load_gossip *w);
 
--- a/loadgossipwire.c
+++ b/loadgossipwire.c
@@ -4,7 +4,7 @@
 #include "peer.h"
 
 /* No prompt and no endpoint's memory is larger; with this cap, sums over all
- * VMs stay far below 2^63. */
+   VMs stay far below 2^63. */
 #define TOKENS_MAX 1000000000
 /* A message of 40 entries takes at most 1.5 KB. */
 #define MESSAGE_MAX_BYTES 2048
--- a/partfeed.c
+++ b/partfeed.c
@@ -10,11 +10,11 @@
 /* Longest wait that a store allows a poll. */
 #define POLL_WAIT_US (1000 * CQ_US_PER_MS)
 /*
- * A store accepts some ten concurrent polls. With many VMs most polls would be
- * refused, and most VMs would not know what is stored. A VM whose poll is
- * refused changes to short polls with pauses in between. The pause doubles
+ * A store accepts some ten concurrent polls.  With many VMs most polls would
+ * be refused, and most VMs would not know what is stored.  A VM whose poll is
+ * refused changes to short polls with pauses in between.  The pause doubles
  * with each refusal, up to the maximum, and gets shorter by a quarter with
- * each reply. A save requires contents that were synchronized at most 1.5 s
+ * each reply.  A save requires contents that were synchronized at most 1.5 s
  * ago: with long pauses that decrease slowly, most VMs could not save
  * anything.
  */
@@ -27,24 +27,23 @@
 /* A call to free parts expires after this time on the store's clock. */
 #define FREE_EXPIRY_MS 800
 /* Interval between calls to free parts at one store, so that its events arrive
- * in between. */
+   in between. */
 #define FREE_INTERVAL_US (600 * CQ_US_PER_MS)
 
-/* Concurrent calls that a store accepts, if the configuration does not tell.
- */
+/* Concurrent calls that a store accepts, if not configured. */
 #define CALLS_DEFAULT 12
 /* Percentage of these for VMs that poll the store continuously, each of which
- * has a call in progress nearly all the time. */
+   has a call in progress nearly all the time. */
 #define CONTINUOUS_PERCENT 75
 /* The other VMs pause between polls for this time multiplied by the number of
- * stores, within these bounds. So the total rate of polls does not depend on
- * the number of stores, up to the pause at which the contents known here would
- * be too old for fetches. */
+   stores, within these bounds.  So the total rate of polls does not depend on
+   the number of stores, up to the pause at which the contents known here would
+   be too old for fetches. */
 #define SPACED_PER_STORE_US (50 * CQ_US_PER_MS)
 #define SPACED_MIN_US (1200 * CQ_US_PER_MS)
 #define SPACED_MAX_US (2500 * CQ_US_PER_MS)
 /* Interval at which a VM checks again whether it is to poll a store
- * continuously. */
+   continuously. */
 #define RANK_CHECK_US (2 * CQ_US_PER_S)
 
 /* One store that is followed. */
@@ -60,11 +59,10 @@
   bool unreachable; /* the last call failed */
   int64_t pace_us;  /* mean pause between polls after refusals, 0 for none */
   int64_t sent_us;  /* when the call in progress was sent */
-  int64_t
-      rank_checked_us;  /* when the VM's rank was checked last; 0 for never */
-  bool freeing;         /* a call to free parts is in progress */
-  int64_t free_sent_us; /* when the last such call was sent */
-  GArray *freed;        /* struct part_stored, the parts of that call */
+  int64_t rank_checked_us; /* rank was checked last then; 0 for never */
+  bool freeing;            /* a call to free parts is in progress */
+  int64_t free_sent_us;    /* when the last such call was sent */
+  GArray *freed;           /* struct part_stored, the parts of that call */
 };
 
 struct partfeed
@@ -103,7 +101,7 @@
 }
 
 /* Returns 0.5 to 1.5 times the pace: VMs that were refused together must not
- * return together. */
+   return together. */
 static int64_t
 jittered_pause (struct watch *w, int64_t pace_us)
 {
@@ -178,7 +176,7 @@
 }
 
 /* A delayed reply of an earlier incarnation may arrive after the first reply
- * of the next one. */
+   of the next one. */
 static bool
 is_of_earlier_incarnation (const struct parts_store *s,
                            const struct partfeed_reply *n)
@@ -188,8 +186,8 @@
 }
 
 /* A restart empties a store, and lost events may include removals: a part that
- * is wrongly considered stored would cause a useless fetch. Both are followed
- * by a call that lists all that is stored. */
+   is wrongly considered stored would cause a useless fetch.  Both are followed
+   by a call that lists all that is stored. */
 static void
 on_reply (void *arg, const struct partfeed_reply *n)
 {
@@ -259,7 +257,7 @@
 
 /*
  * A store accepts a limited number of concurrent calls, and there may be many
- * more VMs: each VM that polls without pauses displaces another one. So only
+ * more VMs: each VM that polls without pauses displaces another one.  So only
  * as many VMs as the store has room for poll it continuously; the others pause
  * between polls.
  */
@@ -375,7 +373,7 @@
 }
 
 /* Newest version of the model such that nobody can be fetching parts of older
- * versions at NOW_US; 0 if there is none. */
+   versions at NOW_US; 0 if there is none. */
 static int64_t
 freeable_version (const struct fleet_wanted *w, int64_t now_us)
 {
--- a/partfeed.h
+++ b/partfeed.h
@@ -34,10 +34,10 @@
   GArray *events;     /* struct partfeed_event */
 };
 
-typedef void (*partfeed_done) (void *arg, const struct partfeed_reply *news);
+typedef void (*partfeed_done) (void *arg, const struct partfeed_reply *reply);
 
-/* The stores, as an adapter offers them. DONE is always called exactly once.
- */
+/* The stores, as an adapter offers them.  DONE is always called exactly
+   once. */
 struct partfeed_ops
 {
   /* Long poll: events from number SINCE on, with a wait of up to WAIT_US. */
@@ -46,7 +46,7 @@
   /* Read all that is stored. */
   void (*list) (void *ctx, const char *address, partfeed_done done, void *arg);
   /* Free parts if the store's incarnation is EPOCH and its clock is before
-   * UNTIL_MS. */
+     UNTIL_MS. */
   void (*free) (void *ctx, const char *address, int64_t epoch,
                 int64_t until_ms, const struct part_stored **list, int n,
                 void (*done) (void *arg, bool freed), void *arg);
@@ -59,7 +59,7 @@
   struct parts *parts;     /* directory to keep current */
   struct partfeed_ops ops; /* adapter */
   /* Whether this VM is among the first PLACES of all VMs by rendezvous hashing
-   * for KEY; NULL if there are no other VMs. */
+     for KEY; NULL if there are no other VMs. */
   bool (*ranks_within) (void *arg, uint64_t key, int places);
   void *arg;     /* passed to ranks_within */
   uint64_t seed; /* for randomized pauses */
--- a/parts.c
+++ b/parts.c
@@ -15,29 +15,29 @@
  */
 #define WEIGHTS_FRESH_MAX_US (2500 * CQ_US_PER_MS)
 /* Parts of outdated weights are still fetched for this long: during a change
- * of weights, most endpoints have the old ones. */
+   of weights, most endpoints have the old ones. */
 #define FETCH_OUTDATED_US (5 * CQ_US_PER_S)
 /* A fetch expires after the time that the request may wait plus
- * FETCH_EXTRA_MS, and after FETCH_MAX_MS at most: prefilling most parts again
- * takes less, and a store that has become slow would delay the answer. */
+   FETCH_EXTRA_MS, and after FETCH_MAX_MS at most: prefilling most parts again
+   takes less, and a store that has become slow would delay the answer. */
 #define FETCH_EXTRA_MS 250
 #define FETCH_MAX_MS 1000
 /* Later than this after newer weights were named, nobody fetches parts of the
- * old ones; 700 ms are added for clock differences and the duration of calls.
- */
+   old ones; 700 ms are added for clock differences and the duration of
+   calls. */
 #define FREE_AFTER_US                                                         \
   (FETCH_OUTDATED_US + FETCH_MAX_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
 /* A store that has not replied for so long is not used: polls of it are up to
- * six seconds apart where many VMs share it. */
+   six seconds apart where many VMs share it. */
 #define STORE_SILENT_US (8 * CQ_US_PER_S)
 /*
  * A store is empty after a restart, and does not refuse to fetch a part that
- * is just being saved again: the request would read an incomplete part. A VM
- * that has not detected the restart still considers the part complete. So a
+ * is just being saved again: the request would read an incomplete part.  A VM
+ * that has not detected the restart still considers the part complete.  So a
  * fetch requires that the store's contents were synchronized at most
- * FETCH_SYNC_AGE_US ago. And a VM that detects a new incarnation saves nothing
- * there for SETTLE_US: until then older information has expired on all VMs,
- * with the fetches that were begun by it, and with 700 ms for clock
+ * FETCH_SYNC_AGE_US ago.  And a VM that detects a new incarnation saves
+ * nothing there for SETTLE_US: until then older information has expired on all
+ * VMs, with the fetches that were begun by it, and with 700 ms for clock
  * differences and the duration of calls.
  */
 #define FETCH_SYNC_AGE_US (5 * CQ_US_PER_S)
@@ -45,22 +45,22 @@
   (FETCH_SYNC_AGE_US + FETCH_MAX_MS * CQ_US_PER_MS + 700 * CQ_US_PER_MS)
 /*
  * A VM that has not detected the restart may itself save a part again that
- * others still fetch. So a save requires that the store's contents were
+ * others still fetch.  So a save requires that the store's contents were
  * synchronized at most this long ago: a restarting store is unavailable for at
- * least two seconds. A faster restart is not covered.
+ * least two seconds.  A faster restart is not covered.
  */
 #define SAVE_SYNC_AGE_US (1500 * CQ_US_PER_MS)
 /* A save that no event has reported after this time was lost, and is requested
- * again. */
+   again. */
 #define SAVE_RETRY_US (3 * CQ_US_PER_S)
 /* A transfer takes some ms at a store; in that time an engine prefills prompts
- * that share fewer tokens than this. */
+   that share fewer tokens than this. */
 #define MIN_TOKENS 64
-/* Longest part, in tokens, that counts as small: its transfer takes some ms.
- */
+/* Longest part, in tokens, that counts as small: its transfer takes some
+   ms. */
 #define SMALL_TOKENS 2048
 /* Share of a store's capacity that is filled: parts that are still being
- * written are not counted yet. */
+   written are not counted yet. */
 #define FILL_PERCENT 95
 
 /* --- names ----------------------------------------------------------- */
@@ -74,8 +74,8 @@
               owner != NULL ? owner : "");
 }
 
-/* Weight version of a scope of MODEL, or -1 if the scope is of another model.
- */
+/* Weight version of a scope of MODEL, or -1 if the scope is of another
+   model. */
 static int64_t
 scope_version (const char *scope, const char *model)
 {
@@ -167,7 +167,7 @@
 }
 
 /* A store that is no longer configured is kept but not used, since a call to
- * it may be in progress. */
+   it may be in progress. */
 void
 parts_take_conf (struct parts *p, const struct fleet_conf *c)
 {
@@ -271,8 +271,8 @@
 }
 
 /* Find a store that holds the complete part, preferably in DOMAIN, since a
- * transfer takes half as long inside a failure domain. Q tells which stores
- * the request may use; NULL for all. */
+   transfer takes half as long inside a failure domain.  Q tells which stores
+   the request may use; NULL for all. */
 static struct parts_store *
 find_stored (struct parts *p, const struct parts_query *q, uint64_t key,
              const struct part *part, const char *domain, int64_t now_us)
@@ -303,8 +303,8 @@
 }
 
 /* Rendezvous score that grows with the capacity, so that larger stores get
- * more parts. Weighted rendezvous hashing would need a logarithm; the maximum
- * of several hashes serves as well. */
+   more parts.  Weighted rendezvous hashing would need a logarithm; the maximum
+   of several hashes serves as well. */
 static uint64_t
 rendezvous_score (const struct parts_store *s, uint64_t key)
 {
@@ -363,7 +363,7 @@
 }
 
 /* The store where the part is to be saved: the same one on every VM while it
- * has capacity, so that two VMs do not store the part twice. */
+   has capacity, so that two VMs do not store the part twice. */
 static struct parts_store *
 choose_store (struct parts *p, const struct parts_query *q, uint64_t key,
               const struct part *part, int64_t now_us)
@@ -425,9 +425,9 @@
     plan->fetch_deadline_ms = until;
 }
 
-/* Whether parts may be fetched. Parts of outdated weights are fetched only for
- * a while, and only by a VM that knows the earliest time at which the weights
- * became outdated. */
+/* Whether parts may be fetched.  Parts of outdated weights are fetched only
+   for a while, and only by a VM that knows the earliest time at which the
+   weights became outdated. */
 static bool
 may_fetch (const struct parts_query *q, int64_t now_us)
 {
@@ -456,7 +456,7 @@
 }
 
 /* Tokens of the shared parts; the last part belongs to this request alone and
- * is not requested again. */
+   is not requested again. */
 static int64_t
 shared_tokens (const struct parts_query *q)
 {
@@ -469,9 +469,9 @@
 }
 
 /*
- * Small parts are planned, too. A part is of use only if all parts before it
+ * Small parts are planned, too.  A part is of use only if all parts before it
  * are present: without a head of 55 tokens that was not planned, 246 fetched
- * tokens behind it were prefilled again. Planning small parts reduced the
+ * tokens behind it were prefilled again.  Planning small parts reduced the
  * shared tokens that are prefilled again by a third (from 3.4 to 2.2 million
  * in a day of 34 s and 10,600 such requests).
  */
--- a/parts.h
+++ b/parts.h
@@ -4,11 +4,11 @@
  * to save, and where.
  *
  * Stores evict nothing by themselves and check nothing, so this module ensures
- * safety. A part is fetched only while it is known to be complete and while
+ * safety.  A part is fetched only while it is known to be complete and while
  * recent information says that its weights are the newest, and each fetch
- * expires at a deadline on the store's own clock. So some seconds after newer
+ * expires at a deadline on the store's own clock.  So some seconds after newer
  * weights were named nobody can still be reading parts of the old ones, and
- * they may be freed without any coordination between VMs. Everything here is
+ * they may be freed without any coordination between VMs.  Everything here is
  * pure.
  */
 #ifndef CQ_PARTS_H
@@ -58,9 +58,8 @@
   int64_t synced_us;        /* stored was current at that time */
   int64_t next_event;       /* number of its next event */
   int64_t used_tokens;      /* tokens known to be stored */
-  int64_t
-      replied_us; /* time of its last reply; 0 for never, or if unreachable */
-  int64_t clock_ms;   /* its clock in its last reply that gave it */
+  int64_t replied_us; /* time of its last reply; 0 if never or unreachable */
+  int64_t clock_ms;   /* its clock, by the last reply that gave it */
   int64_t clock_us;   /* when that reply came */
   GHashTable *stored; /* key to struct part_stored */
   GHashTable *saving; /* key to when a save was requested */
@@ -78,8 +77,8 @@
 };
 
 /* Addresses of the stores that each part of one request is fetched from and
- * saved to; NULL for none. Addresses stay valid until the directory changes.
- */
+   saved to; NULL for none.  Addresses stay valid until the directory
+   changes. */
 struct parts_plan
 {
   const char *fetch[PARTS_MAX]; /* by part */
@@ -139,15 +138,15 @@
                  struct parts_plan *plan);
 
 /* Whether parts of weights that this VM has known to be outdated since
- * OUTDATED_US may be freed. */
+   OUTDATED_US may be freed. */
 bool parts_may_free (int64_t outdated_us, int64_t now_us);
 /* Fill LIST with up to MAX parts in S of MODEL's weights older than VERSION,
- * which stay owned by S; returns their number. */
+   which stay owned by S; returns their number. */
 int parts_outdated (const struct parts_store *s, const char *model,
                     int64_t version, const struct part_stored **list, int max);
 
 /* Write the name of the scope of a model's weights to TO, of PARTS_SCOPE_SIZE
- * bytes; with OWNER NULL all workspaces share it. */
+   bytes; with OWNER NULL all workspaces share it. */
 void parts_scope_name (char *to, const char *model, int64_t version,
                        const char *owner);
 
--- a/sse.c
+++ b/sse.c
@@ -31,7 +31,7 @@
 }
 
 /* Length of the first event with the blank line that ends it, or 0 if it is
- * incomplete; the search starts at FROM. */
+   incomplete; the search starts at FROM. */
 static size_t
 first_event_length (const GString *s, size_t from)
 {
--- a/sse.h
+++ b/sse.h
@@ -1,5 +1,5 @@
 /* Server-sent events of a relayed stream: only complete events are passed on,
- * and each only once. */
+   and each only once. */
 #ifndef CQ_SSE_H
 #define CQ_SSE_H
 
@@ -18,8 +18,8 @@
 void sse_clear (struct sse *e);
 /* A new attempt begins: discard the incomplete event of the previous one. */
 void sse_restart (struct sse *e);
-/* Parse LEN bytes and append complete new events to TO. Returns false if the
- * incomplete event is larger than MAX bytes. */
+/* Parse LEN bytes and append complete new events to TO.  Returns false if the
+   incomplete event is larger than MAX bytes. */
 bool sse_feed (struct sse *e, const char *data, size_t len, size_t max,
                GString *to);
 /* Whether an incomplete event is buffered. */
