--- a/regress/biglist.sh
+++ b/regress/biglist.sh
@@ -1,7 +1,8 @@
-# A VM starts, and a store's list is longer than its link carries within the
-# limit of a call.  Each try begins with the first byte again, so the VM takes
-# the store for silent for good, and callers wait for work that is kept.  A
-# store that falls silent in the middle is noticed all the same.
+# Guards against a store that is wrongly treated as unreachable.  At the start of
+# a VM a store's list is so long that its link needs more time for it than a call
+# may take; each retry would begin at the first byte again, and callers would
+# wait for work that is stored.  A store that stalls in the middle of the list
+# must still be detected.
 . ./lib.sh || exit 1
 wait_bound=${WAIT_BOUND:-20}
 usual_base e1
@@ -17,8 +18,8 @@
 control s1 '{"kb_s":100,"halt_kb":1}'
 start_vm a
 wait_for has_line "$tmp/a.log" 'event=store store=s1 silent=1'
-echo "silent in the middle"
-# Some 4.5 KB, in four seconds.
+echo "stalled in the middle"
+# The list is some 4.5 KB and takes four seconds.
 control s1 '{"kb_s":1,"halt_kb":0}'
 wait_for has_line "$tmp/a.log" 'event=store store=s1 incarnation'
 echo "known"
--- a/regress/evacuate.sh
+++ b/regress/evacuate.sh
@@ -1,4 +1,4 @@
-# Guards against work sent to a failure domain that the operator evacuates.
+# Guards against requests sent to a failure domain that the operator evacuates.
 . ./lib.sh || exit 1
 . ./site.sh
 
@@ -8,7 +8,7 @@
 	row servers "i-$1" "{\"Service\":\"app\",\"Address\":\"127.0.0.1:$_port\",\"Zone\":\"$2\",\"Slots\":8,\"State\":\"ready\"}"
 }
 ran() { grep -c 'event=ran' "$tmp/$1.err"; }
-# more NAME: whether sixteen requests reach it.
+# more NAME: sends sixteen requests and prints whether any reached NAME.
 more() {
 	_before=$(ran "$1")
 	for _i in $(seq 16); do ask a /safe/x >/dev/null; done
@@ -23,7 +23,7 @@
 	start_fake $s server
 	control $s "{\"id\":\"i-$s\"}"
 done
-# The VM stands in d1, so it prefers p.
+# The VM is in d1, so it prefers p.
 app p d1
 app q d2
 entry a
@@ -44,14 +44,14 @@
 wait_for has_line "$tmp/a.log" 'event=evacuation domain=d2 outcome=ended'
 more q
 
-echo "== a VM that starts meanwhile"
+echo "== a VM that starts during the evacuation"
 kill "$pid_a"
 wait "$pid_a"
 entry a
 wait_for is_ready a
 more p
 
-echo "== the store comes back from a copy without it; the operator writes it again"
+echo "== the store is restored from a copy without the evacuation; the operator writes it again"
 drop_row op evacuate/d1
 wait_for copies ended 1
 more p
@@ -66,7 +66,7 @@
 sleep 3
 more p
 
-echo "== it is taken back"
+echo "== the evacuation ends"
 drop_row op evacuate/d1
 wait_for copies ended 2
 more p
--- a/regress/fresh.sh
+++ b/regress/fresh.sh
@@ -1,16 +1,18 @@
-# What the settings of a VM count as confirmed by, and since when.  Its caller
-# must be refused (settings_stale) once nobody can vouch for them: not served,
-# because the VM was suspended and took a reply of before that for new.  And a
-# VM that cannot see the table serves as long as one that can vouches for both.
+# Guards against requests served by outdated settings.  A VM must refuse requests
+# (settings_stale) once its settings can no longer be confirmed, also if it was
+# suspended and then receives a reply from before the suspension.  A VM that
+# cannot reach the table serves as long as another VM that can confirms the
+# settings.
 . ./lib.sh || exit 1
 . ./vms.sh
 vms_base
-# A call lasts as long as the VM is suspended.
+# Calls must not time out while the VM is suspended.
 sed -i 's/^timeout_ms = .*/timeout_ms = 30000/; s/^\[service model\]/&\nwhen_stale = refuse/' "$tmp/base.ini"
 fresh='fresh_within_s = 2'
 more() { [ "$(stat table "$1")" -gt "$2" ]; }
 serves() { [ "$(post "$1" ws /v1/completions "$(prompt x 2 true)")" = 200 ]; }
-# thaw VM: of twenty requests of the second after it, how many were served.
+# thaw VM: resumes VM and prints how many of twenty requests in the next second
+# are served.
 thaw() {
 	eval "kill -CONT \$pid_$1"
 	n=0
@@ -20,7 +22,7 @@
 	done
 	echo "served $n, then $(code)"
 }
-# away SECONDS: the table answers nobody, and settings get old meanwhile.
+# away SECONDS: the table does not reply for SECONDS, and the settings get old.
 away() {
 	control table '{"down":1,"slow_ms":0}'
 	sleep "$1"
@@ -34,7 +36,7 @@
 control table '{"slow_ms":1000}'
 reads=$(stat table reads)
 wait_for more reads $((reads + 1))
-# The next read has left when this is over, and is not answered.
+# By then the next read has been sent; its reply is still missing.
 sleep 0.6
 kill -STOP "$pid_h"
 reads=$(stat table reads)
@@ -43,7 +45,7 @@
 thaw h
 control table '{"down":0}'
 wait_for serves h
-echo "and served when the table is back"
+echo "served when the table replies again"
 die h
 
 echo "== suspended while a change is committed"
@@ -55,7 +57,7 @@
 reads=$(stat table reads)
 ctl c apply "$tmp/change.ini" >"$tmp/apply" 2>&1 &
 wait_for more reads "$reads"
-# The head was read, so the commit leaves; it takes a second.
+# The head was read, and the commit has been sent; it takes a second.
 sleep 0.4
 kill -STOP "$pid_c"
 wait_for more transactions 0
@@ -64,7 +66,7 @@
 control table '{"down":0}'
 die c
 
-echo "== a VM that never sees the table"
+echo "== a VM that cannot reach the table"
 start_peer a d1 "$fresh"
 start_peer b d1 "$fresh" '[platform]' 'table = http://127.0.0.1:1' 'vm_list ='
 wait_for serves b
@@ -74,14 +76,14 @@
 kill -STOP "$pid_a"
 is_stale() { post "$1" ws /v1/completions "$(prompt x 2 true)"; [ "$(code)" = settings_stale ]; }
 wait_for is_stale b
-echo "a is gone: b $(code)"
+echo "a is suspended: b $(code)"
 kill -CONT "$pid_a"
 wait_for serves b
-echo "a is back: b serves"
+echo "a is resumed: b serves"
 
-echo "== suspended while it asks that VM"
+echo "== suspended while it queries that VM"
 kill -STOP "$pid_a"
-# Its next questions have left when this is over; their answers wait for it.
+# By then its next queries have been sent; their replies wait in its sockets.
 sleep 0.5
 kill -STOP "$pid_b"
 kill -CONT "$pid_a"
--- a/regress/tell.sh
+++ b/regress/loadgossip.sh
@@ -1,10 +1,11 @@
-# VMs that tell each other of work.  A long prompt of VM a is being read at an
-# endpoint; callers of VM b, whose short prompts are at home there, are served
-# at the other one.  Then a is killed: what it said fades, and b's callers are
-# served at home again.  Strange datagrams change nothing.
+# Guards against requests that queue behind the work of another VM.  An endpoint
+# prefills a long prompt of VM a.  Short prompts of VM b have their cached prefix
+# at the same endpoint, but must go to the other one, since a has sent its load
+# to b.  Then a is killed: its load expires, and b uses the cached prefix again.
+# Invalid datagrams change nothing.
 . ./lib.sh || exit 1
 . ./site.sh
-knows() { grep -q "event=vm_known name=$2 " "$tmp/$1.log"; }
+has_peer() { grep -q "event=vm_known name=$2 " "$tmp/$1.log"; }
 ran_at() { grep -l "event=ran.*X-Attempt-Id=$1 " "$tmp"/[ef].err | sed 's|.*/\(.\)\.err|\1|'; }
 long_runs() { [ -n "$(ran_at long)" ]; }
 start_fake rows rows
@@ -15,9 +16,9 @@
 entry b
 wait_for is_ready a
 wait_for is_ready b
-wait_for knows a b
-wait_for knows b a
-echo "both know each other"
+wait_for has_peer a b
+wait_for has_peer b a
+echo "both VMs know each other"
 
 control e '{"events":2,"delay_ms":60000}'
 control f '{"events":2,"delay_ms":60000}'
@@ -28,18 +29,18 @@
 control f '{"delay_ms":0}'
 sleep 0.3
 for i in 1 2 3; do id=short$i ask b /tell/x -d p -H 'X-Prompt-Prefix: aa:300,cc:80'; done
-for i in 1 2 3; do if [ "$(ran_at short$i)" = "$home" ]; then echo "behind the long one"; else echo "beside it"; fi; done
+for i in 1 2 3; do if [ "$(ran_at short$i)" = "$home" ]; then echo "behind the long prompt"; else echo "at the other endpoint"; fi; done
 sed -n 's/.*event=send req=short1 .* \(ahead=[0-9]*\) \(held=[0-9]*\) .*/\1 \2/p' "$tmp/b.log"
 
-echo "== datagrams that are no words"
+echo "== invalid datagrams"
 at=$(sed -n 's/.*event=tell_listen address=\([^ ]*\).*/\1/p' "$tmp/b.log")
 for w in x '' "$(head -c 1500 /dev/zero | tr '\0' y)"; do printf '%s' "$w" >"/dev/udp/${at%:*}/${at#*:}"; done
-strange() { [ "$(curl -s --noproxy '*' "http://$vm_b/metrics" | sed -n 's/^camphorquay_loads_unread_total //p')" -ge 2 ]; }
-wait_for strange
+unread() { [ "$(curl -s --noproxy '*' "http://$vm_b/metrics" | sed -n 's/^camphorquay_loads_unread_total //p')" -ge 2 ]; }
+wait_for unread
 id=short4 ask b /tell/x -d p -H 'X-Prompt-Prefix: aa:300,cc:80'
 
 echo "== the VM with the long prompt dies"
 die a
-at_home() { id=late$RANDOM; ask b /tell/x -d p -H 'X-Prompt-Prefix: aa:300,cc:80' >/dev/null; [ "$(ran_at $id)" = "$home" ]; }
-wait_for at_home
-echo "served at home again"
+at_cached() { id=late$RANDOM; ask b /tell/x -d p -H 'X-Prompt-Prefix: aa:300,cc:80' >/dev/null; [ "$(ran_at $id)" = "$home" ]; }
+wait_for at_cached
+echo "served where the prefix is cached again"
--- a/regress/manyvms.sh
+++ b/regress/manyvms.sh
@@ -1,4 +1,4 @@
-# Guards against a list of VMs that is cut where the store's answers end.
+# Guards against a list of VMs that is truncated at the store's page size.
 . ./lib.sh || exit 1
 . ./site.sh
 start_fake rows rows
@@ -9,5 +9,5 @@
 entry zz
 wait_for is_ready zz
 wait_for has_line "$tmp/zz.log" 'event=vms_listed vms=31 before=[0-9]* self=yes'
-echo "all are known, and this one too"
+echo "all VMs are known, including this one"
 ask zz /safe/x
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -9,7 +9,7 @@
 #define SETTLED_US (60 * CQ_US_PER_S)
 
 static struct fleet_endpoint *
-put (struct play *p, const char *id, const char *domain)
+set_domain (struct play *p, const char *id, const char *domain)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
 
@@ -17,31 +17,31 @@
   return e;
 }
 
-/* Guards against a request that was placed before its endpoint's domain was
-   evacuated. */
+/* Guards against a request that is sent to an endpoint whose domain was
+   evacuated after the endpoint was selected. */
 static void
 test_before_send (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  put (p, "a", "east");
-  put (p, "b", "west");
+  set_domain (p, "a", "east");
+  set_domain (p, "b", "west");
   play_start (p);
   evac_begin (&p->fleet, strcmp (p->to[0], "a") == 0 ? "east" : "west", 2);
   play_moves_on (p);
   play_free (p);
 }
 
-/* Guards against a burst at endpoints that became cold before the evacuation
-   ended, while their entries do not say so yet. */
+/* Guards against a burst of requests at endpoints that became cold before the
+   evacuation ended, while their entries do not show it yet. */
 static void
 test_ends_cold (void)
 {
   struct play *p = play_new (FLEET_ONCE);
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
   int64_t now = loop_now_us ();
-  struct fleet_endpoint *a = put (p, "a", "east");
-  struct fleet_endpoint *b = put (p, "b", "west");
+  struct fleet_endpoint *a = set_domain (p, "a", "east");
+  struct fleet_endpoint *b = set_domain (p, "b", "west");
 
   s->name = g_strdup ("s");
   s->cold_us = 3 * CQ_US_PER_S;
@@ -54,8 +54,8 @@
   play_free (p);
 }
 
-/* Guards against an evacuation that stays for good after its end was missed.
- */
+/* Guards against an evacuation that stays in force indefinitely after its end
+   was missed. */
 static void
 test_end_missed (void)
 {
@@ -70,8 +70,9 @@
   fleet_clear (&f);
 }
 
-/* Guards against an evacuation that ends since the store came back from a copy
-   without it, and against one that the operator does not write again. */
+/* Guards against an evacuation that ends because the store was restored from a
+   copy without it, and against one that stays in force although the operator
+   does not write it again. */
 static void
 test_older_copy (void)
 {
--- a/regress/test-follow.c
+++ b/regress/test-follow.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of following the platform: the test plays it, and brings each
- * fault about at its moment.
+ * Unit tests of follow.c: the test simulates the platform and injects each
+ * fault at a chosen moment.
  */
 #include <glib.h>
 #include <string.h>
@@ -13,24 +13,24 @@
 
 #define CURRENT_US (1900 * MS)
 
-/* A played platform: the test hands out each answer. */
+/* A simulated platform: the test sends each reply. */
 struct source
 {
-  struct loop *loop;                           /* for pauses */
-  struct fleet fleet;                          /* beliefs */
-  struct follow *follow;                       /* under test */
-  follow_done done[FOLLOW_SOURCES];            /* waiting for news */
-  void *arg[FOLLOW_SOURCES];                   /* for them */
-  bool reading[FOLLOW_SOURCES];                /* a read, not a wait */
-  int64_t after[FOLLOW_SOURCES];               /* version it waits after */
-  int waits[FOLLOW_SOURCES];                   /* for changes, so far */
-  int64_t wait_us[FOLLOW_SOURCES];             /* of the last one */
+  struct loop *loop;                /* runs the timers */
+  struct fleet fleet;               /* state kept current */
+  struct follow *follow;            /* under test */
+  follow_done done[FOLLOW_SOURCES]; /* callback of the call in progress */
+  void *arg[FOLLOW_SOURCES];        /* its argument */
+  bool reading[FOLLOW_SOURCES];     /* the call is a full read, not a poll */
+  int64_t after[FOLLOW_SOURCES];    /* version that the poll gave */
+  int waits[FOLLOW_SOURCES];        /* polls so far */
+  int64_t wait_us[FOLLOW_SOURCES];  /* wait of the last poll */
   struct follow_limits limits[FOLLOW_SOURCES]; /* of the last call */
-  bool stop_at_wait;                           /* the next one ends the loop */
-  bool stop_at_call; /* the next call of any kind does */
-  int64_t store_ms;  /* its clock, as answers say */
-  int64_t era;       /* of its store, as answers say */
-  int64_t read_us;   /* answers took so long to read */
+  bool stop_at_wait; /* the next poll ends the loop */
+  bool stop_at_call; /* the next call of any kind ends the loop */
+  int64_t store_ms;  /* platform's clock in replies */
+  int64_t era;       /* store's era in replies */
+  int64_t parse_us;  /* time between arrival and end of parsing */
 };
 
 static void
@@ -48,7 +48,7 @@
 }
 
 static void
-wait_changes (void *ctx, enum follow_source s, int64_t version,
+poll_changes (void *ctx, enum follow_source s, int64_t version,
               int64_t wait_us, const struct follow_limits *limits,
               follow_done done, void *arg)
 {
@@ -76,7 +76,7 @@
   o.loop = p->loop;
   o.fleet = &p->fleet;
   o.ops.read = read_all;
-  o.ops.changes = wait_changes;
+  o.ops.changes = poll_changes;
   o.ops.ctx = p;
   o.max_age_us = CURRENT_US;
   p->follow = follow_new (&o);
@@ -95,8 +95,8 @@
 }
 
 static void
-tell (struct source *p, enum follow_source s, enum follow_status code,
-      int64_t version, GArray *items)
+send_reply (struct source *p, enum follow_source s, enum follow_status code,
+            int64_t version, GArray *items)
 {
   struct follow_reply n
       = { .status = code, .version = version, .items = items };
@@ -106,11 +106,11 @@
 
   n.store_ms = p->store_ms;
   n.era = p->era;
-  n.received_us = loop_now_us () - p->read_us;
+  n.received_us = loop_now_us () - p->parse_us;
   if (items == NULL)
     n.items = none;
   p->done[s](p->arg[s], &n);
-  /* Settings that nobody took, as the adapter frees them. */
+  /* Free the settings that were not taken over, as the adapter does. */
   for (i = 0; i < n.items->len; i++)
     fleet_conf_unref (g_array_index (n.items, struct follow_item, i).conf);
   if (items != NULL)
@@ -134,9 +134,9 @@
 }
 
 /*
- * An endpoint begins to leave, and another is removed, while the platform's
- * history is dropped: no change tells of either.  The whole list, read again,
- * does; else callers' requests would reach both after their last moment.
+ * Guards against requests to endpoints that are gone.  One endpoint begins to
+ * drain and another is removed while the platform drops its history, so no
+ * change reports either; the full read that follows must apply both.
  */
 static void
 test_drain_in_gap (void)
@@ -146,12 +146,13 @@
   struct source *p = source_new ();
   struct fleet_endpoint *e;
 
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10, endpoint_items (three, false));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10,
+              endpoint_items (three, false));
   g_assert_false (p->reading[FOLLOW_ENDPOINTS]);
   g_assert_cmpint (p->after[FOLLOW_ENDPOINTS], ==, 10);
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_ENDPOINTS]);
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, endpoint_items (rest, true));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, endpoint_items (rest, true));
   e = g_hash_table_lookup (p->fleet.by_id, "a");
   g_assert_true (e->draining);
   g_assert_null (g_hash_table_lookup (p->fleet.by_id, "b"));
@@ -160,9 +161,10 @@
 }
 
 /*
- * Some of many endpoints changes its entry all the time.  If each change ended
- * a poll and began the next, the platform's store would get hundreds of calls
- * a second from all VMs; but the first poll follows the list at once.
+ * Guards against hundreds of calls a second to the platform's store: with many
+ * endpoints some entry changes all the time, and each change would end a poll
+ * of each VM and start the next.  Only the first poll follows the full read
+ * immediately.
  */
 static void
 test_paced (void)
@@ -171,9 +173,9 @@
   struct source *p = source_new ();
   int64_t began = loop_now_us ();
 
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10, endpoint_items (one, false));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 10, endpoint_items (one, false));
   g_assert_cmpint (p->waits[FOLLOW_ENDPOINTS], ==, 1);
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 11, endpoint_items (one, false));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 11, endpoint_items (one, false));
   g_assert_cmpint (p->waits[FOLLOW_ENDPOINTS], ==, 1);
   p->stop_at_wait = true;
   loop_run (p->loop);
@@ -184,10 +186,10 @@
 }
 
 /*
- * A poll waits for a while and is answered that nothing changed.  By the
- * platform's clock that was true when the answer was given, not only when the
- * poll was sent; but never later, and after a jump of that clock only what the
- * answer itself proves counts.
+ * A poll waits for a while, and its reply reports no change.  By the
+ * platform's clock the settings were current when the reply was sent, not only
+ * when the poll was sent, but never later than that.  After a jump of that
+ * clock only the reply itself is evidence.
  */
 static void
 test_freshness_by_clock (void)
@@ -197,33 +199,33 @@
   int64_t polled_at, answered_at;
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   polled_at = loop_now_us ();
   g_usleep (30000);
-  /* Given 20 ms after the first answer, and 10 ms or more on its way. */
+  /* Sent 20 ms after the first reply, and 10 ms or more in transit. */
   p->store_ms = 50020;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, >=, before + 19 * MS);
   g_assert_cmpint (p->fleet.fresh_us, <=, polled_at + 20 * MS);
-  /* The clock jumps forward by an hour. */
+  /* The platform's clock jumps forward by an hour. */
   answered_at = loop_now_us ();
   p->store_ms = 50020 + 3600000;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
-  /* And back. */
+  /* And back again. */
   g_usleep (10000);
   answered_at = loop_now_us ();
   p->store_ms = 50100;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
   source_free (p);
 }
 
 /*
- * An answer takes long to read, and the platform's clock has jumped forward by
- * less than that since the one before.  What it says was so when it came, not
- * while it was read: or a key that was taken away meanwhile would open doors
- * for longer than it may.
+ * Guards against a revoked key that is accepted for too long.  A reply takes
+ * long to parse, and the platform's clock has jumped forward by less than that
+ * since the previous reply: the content must count as current at its arrival,
+ * not while it was parsed.
  */
 static void
 test_freshness_read_late (void)
@@ -231,11 +233,11 @@
   struct source *p = source_new ();
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_usleep (60000);
   p->store_ms = 50045;
-  p->read_us = 40 * MS;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  p->parse_us = 40 * MS;
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->fleet.fresh_us, <=, loop_now_us () - 40 * MS);
   source_free (p);
 }
@@ -251,17 +253,19 @@
   return a;
 }
 
-/* No version from VERSION on was named before, 0 if that is not known. */
+/* Time before which no version from VERSION on was named, 0 if that is not
+   known. */
 static int64_t
-early_of (const struct source *p, int64_t version)
+not_named_before (const struct source *p, int64_t version)
 {
   return MAX (fleet_not_before (&p->fleet, "m", version), 0);
 }
 
 /*
- * A poll for the operators' changes goes silent while weights are named.  What
- * the list of endpoints said meanwhile tells how old the naming can be: its
- * changes share the count.  An answer that was overtaken tells nothing.
+ * A poll for the operators' changes gets no reply while weights are named.
+ * Replies about the list of endpoints in that time bound how long ago the
+ * weights can have been named, since both sources share one change counter.  A
+ * reply that was overtaken proves nothing.
  */
 static void
 test_naming_time (void)
@@ -272,30 +276,30 @@
   int64_t listed;
 
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
-  g_assert_cmpint (early_of (p, 1), ==, 0);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
+  g_assert_cmpint (not_named_before (p, 1), ==, 0);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, NULL);
   g_usleep (20000);
   listed = loop_now_us ();
   p->store_ms = listed / MS;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
   naming_item (two, 25, 2);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (two, 35, 3));
-  g_assert_cmpint (early_of (p, 2), <, listed - 10 * MS);
-  g_assert_cmpint (early_of (p, 3), >, listed - 10 * MS);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (two, 35, 3));
+  g_assert_cmpint (not_named_before (p, 2), <, listed - 10 * MS);
+  g_assert_cmpint (not_named_before (p, 3), >, listed - 10 * MS);
   source_free (p);
 }
 
 /*
- * The operators' table cannot be read for a while: versions 2 and 3 are named
+ * The operators' table cannot be read for a while.  Versions 2 and 3 are named
  * meanwhile, and the table then shows only 3.  The list of endpoints, which
- * goes on, says that 3 was not made before its last answer; of 2, which the
- * weights of 1 are outdated by, it says nothing.  What is known of both is
- * when the table was read last.
+ * still can be read, proves that 3 had not been named at its last reply, but
+ * proves nothing about 2, which made the weights of version 1 outdated.  The
+ * only bound for 2 is the last read of the table.
  */
 static void
 test_naming_time_of_unseen (void)
@@ -306,22 +310,22 @@
   int64_t read;
 
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
   read = p->fleet.fresh_us;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
-  /* Version 2 is named in change 25, and row 25 is overwritten by row 35. */
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
+  /* Version 2 is named in change 25, and change 35 overwrites its row. */
   g_usleep (40000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 30, NULL);
   g_usleep (20000);
   p->store_ms = loop_now_us () / MS;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (three, 35, 3));
-  g_assert_cmpint (early_of (p, 2), <=, read);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 40, naming_item (three, 35, 3));
+  g_assert_cmpint (not_named_before (p, 2), <=, read);
   source_free (p);
 }
 
-/* Without a clock of the platform, knowledge is as fresh as the moment at
-   which the answered call was sent; an unanswered call makes nothing fresh. */
+/* Without a platform clock the settings were current when the call that got a
+   reply was sent; a call without a reply does not refresh them. */
 static void
 test_freshness (void)
 {
@@ -330,22 +334,24 @@
   int64_t fresh;
 
   g_usleep (20000);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   fresh = p->fleet.fresh_us;
   g_assert_cmpint (fresh, <=, before);
   g_assert_cmpint (fresh, >, 0);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
   g_assert_cmpint (p->fleet.fresh_us, ==, fresh);
   source_free (p);
 }
 
-#define ANSWER_US (500 * MS) /* for an answer to begin, over the wait */
-#define LINK_BYTES_S 1250000 /* of the smallest VMs: 10 Mbit/s */
+#define ANSWER_US                                                             \
+  (500 * MS) /* for a reply to begin, in addition to the wait */
+#define LINK_BYTES_S 1250000 /* link of the smallest VMs: 10 Mbit/s */
 
 /*
- * In calm, knowledge gets as old as a poll waits and its answer takes.  If
- * that reached the bound past which nothing is denied, callers with a wrong
- * path would hear 503 in each lull, and come back for nothing.
+ * While nothing changes, the settings get as old as the wait of a poll plus
+ * the time of its reply.  If that reached the age past which requests are no
+ * longer denied, callers with a wrong path would get 503 in each quiet period,
+ * and retry in vain.
  */
 static void
 test_wait_by_age (void)
@@ -361,16 +367,16 @@
         if (wait > 100 * MS)
           g_assert_cmpint (age + wait + ANSWER_US, <=, current);
       }
-  /* Nothing is gained by asking more often than that. */
+  /* Shorter waits than this have no benefit. */
   g_assert_cmpint (follow_poll_wait_us (2900 * MS, 0), ==, 2200 * MS);
   g_assert_cmpint (follow_poll_wait_us (1900 * MS, 0), ==, 1400 * MS);
 }
 
 /*
- * All settings take seconds to come over a small link, so they are old when
- * they are there.  The next poll asks at once whether they still hold: with
- * its usual wait the VM would deny nothing, and then refuse all keys, while
- * the platform is well and nothing changes.
+ * All settings take seconds to arrive over a small link, so they are old on
+ * arrival.  The next poll must have a short wait to confirm them: with the
+ * usual wait the VM would deny nothing, and then refuse all keys, although the
+ * platform is healthy and nothing changes.
  */
 static void
 test_old_on_arrival (void)
@@ -378,21 +384,21 @@
   struct source *p = source_new ();
 
   p->store_ms = 50000;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], >, 1300 * MS);
-  /* By its clock the answer was given when the call was sent. */
+  /* By the platform's clock the reply was sent when the call was. */
   g_usleep (700000);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 11, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 11, NULL);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], <, 800 * MS);
   g_assert_cmpint (p->wait_us[FOLLOW_OPERATOR], >, 100 * MS);
   source_free (p);
 }
 
 /*
- * The largest answer that is taken must have the time that it needs on the
- * smallest link: limited as a whole to less, it would never be had.  What
- * shows a silent store is the wait for the first byte and for each further
- * one, and both are short.
+ * The largest accepted reply must get the time that it needs on the smallest
+ * link: with a shorter limit on the whole reply it could never be received.  A
+ * store that does not respond is detected by the limits on the first byte and
+ * on each further one, and both are short.
  */
 static void
 test_limits (void)
@@ -403,7 +409,7 @@
 
   g_assert_cmpint (l->first_byte_us, <, CQ_US_PER_S);
   g_assert_cmpint (l->total_us, >=, 2 * largest_us);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
   g_assert_cmpint (l->first_byte_us, ==,
                    p->wait_us[FOLLOW_OPERATOR] + ANSWER_US);
   g_assert_cmpint (l->stall_us, <=, ANSWER_US);
@@ -411,18 +417,18 @@
   source_free (p);
 }
 
-/* A call fails; the next one is waited for, and whether it reads is told. */
+/* Let a call fail, and return whether the next one is a full read. */
 static bool
-reads_after (enum follow_source s, enum follow_status code)
+reads_all_after (enum follow_source s, enum follow_status code)
 {
   struct source *p = source_new ();
   bool reading;
 
-  tell (p, s, FOLLOW_OK, 10, NULL);
+  send_reply (p, s, FOLLOW_OK, 10, NULL);
   g_assert_false (p->reading[s]);
   p->after[s] = 0;
   p->stop_at_call = true;
-  tell (p, s, code, 0, NULL);
+  send_reply (p, s, code, 0, NULL);
   loop_run (p->loop);
   reading = p->reading[s];
   if (!reading)
@@ -432,21 +438,22 @@
 }
 
 /*
- * The platform is silent for a moment.  What was read before still holds, and
- * a poll tells what changed since: each VM reading megabytes again would take
- * the next seconds of a small link.  A poll whose answer is too large never
- * gets anywhere, and a list of endpoints is only certain as a whole.
+ * The platform does not respond for a moment.  The settings read before are
+ * still valid, and a poll returns what has changed since: if each VM read
+ * megabytes again, that would occupy a small link for seconds.  A poll whose
+ * reply is too large would fail again and again, and the list of endpoints is
+ * only reliable after a full read.
  */
 static void
 test_poll_goes_on (void)
 {
-  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_NO_REPLY));
-  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_STALLED));
-  g_assert_false (reads_after (FOLLOW_OPERATOR, FOLLOW_REFUSED));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_TOO_LARGE));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_INCOMPLETE));
-  g_assert_true (reads_after (FOLLOW_OPERATOR, FOLLOW_MALFORMED));
-  g_assert_true (reads_after (FOLLOW_ENDPOINTS, FOLLOW_NO_REPLY));
+  g_assert_false (reads_all_after (FOLLOW_OPERATOR, FOLLOW_NO_REPLY));
+  g_assert_false (reads_all_after (FOLLOW_OPERATOR, FOLLOW_STALLED));
+  g_assert_false (reads_all_after (FOLLOW_OPERATOR, FOLLOW_REFUSED));
+  g_assert_true (reads_all_after (FOLLOW_OPERATOR, FOLLOW_TOO_LARGE));
+  g_assert_true (reads_all_after (FOLLOW_OPERATOR, FOLLOW_INCOMPLETE));
+  g_assert_true (reads_all_after (FOLLOW_OPERATOR, FOLLOW_MALFORMED));
+  g_assert_true (reads_all_after (FOLLOW_ENDPOINTS, FOLLOW_NO_REPLY));
 }
 
 /* --- eras ------------------------------------------------------------ */
@@ -463,7 +470,7 @@
   return a;
 }
 
-/* Run until a call was made that follows a pause. */
+/* Run the loop until the call after a pause has been made. */
 static void
 next_call (struct source *p)
 {
@@ -472,23 +479,24 @@
   p->stop_at_call = false;
 }
 
-/* Settings 4 came with change 100 of the first era, and are followed. */
+/* Settings 4 were read with change 100 of the first era, and are polled for
+   changes. */
 static struct source *
 source_in_first_era (void)
 {
   struct source *p = source_new ();
 
   p->era = 1;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 100, conf_item (4, 100));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 100, conf_item (4, 100));
   g_assert_false (p->reading[FOLLOW_OPERATOR]);
   return p;
 }
 
 /*
- * The store is back from an older copy, and its counter has passed the version
- * that this VM knows: a poll is answered, and says nothing.  What lies between
- * is read all the same, with a lower version than was known; else a key that
- * was taken away would work for good.
+ * Guards against a revoked key that stays valid indefinitely.  The store was
+ * restored from an older copy, and its counter has already passed the version
+ * that this VM knows, so the reply to a poll reports no changes.  The changes
+ * in between must still be read, also with lower versions than were known.
  */
 static void
 test_older_copy (void)
@@ -496,69 +504,70 @@
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 120, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 120, NULL);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 121, conf_item (5, 70));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 121, conf_item (5, 70));
   g_assert_cmpint (p->fleet.conf->version, ==, 5);
   g_assert_cmpint (p->after[FOLLOW_OPERATOR], ==, 121);
   source_free (p);
 }
 
-/* Its counter is far below what this VM knows: it goes on from there, and what
-   callers saw in force stays in force until the operator has written again. */
+/* The store's counter is far below the version that this VM knows: polls
+   continue from the lower version, and the settings in force stay in force
+   until the operator has written newer ones. */
 static void
 test_older_copy_far_back (void)
 {
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_HISTORY_LOST, 0, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, conf_item (3, 9));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, conf_item (3, 9));
   g_assert_cmpint (p->fleet.conf->version, ==, 4);
   g_assert_cmpint (p->after[FOLLOW_OPERATOR], ==, 10);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 12, conf_item (5, 12));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 12, conf_item (5, 12));
   g_assert_cmpint (p->fleet.conf->version, ==, 5);
   source_free (p);
 }
 
-/* The list of endpoints shows the drill first: the answer to a poll for
-   settings that was under way, of the era before, counts no more. */
+/* The list of endpoints shows the new era first: the reply to a poll for
+   settings that was in progress, of the previous era, must be ignored. */
 static void
 test_answer_of_era_before (void)
 {
   struct source *p = source_in_first_era ();
 
   p->era = 2;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, NULL);
   p->era = 1;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 101, conf_item (9, 101));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 101, conf_item (9, 101));
   g_assert_cmpint (p->fleet.conf->version, ==, 4);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
   source_free (p);
 }
 
-/* Two drills, of which this VM saw the second only. */
+/* The store was restored twice, and this VM has seen only the second era. */
 static void
 test_two_older_copies (void)
 {
   struct source *p = source_in_first_era ();
 
   p->era = 3;
-  tell (p, FOLLOW_OPERATOR, FOLLOW_REFUSED, 0, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_REFUSED, 0, NULL);
   next_call (p);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, NULL);
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, NULL);
   next_call (p);
   g_assert_true (p->reading[FOLLOW_OPERATOR]);
-  tell (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, conf_item (6, 60));
+  send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 300, conf_item (6, 60));
   g_assert_cmpint (p->fleet.conf->version, ==, 6);
   source_free (p);
 }
 
-/* Endpoints that the copy lacks write their entries again: they are doubted,
-   and taken for gone only if they do not. */
+/* Endpoints that the older copy lacks write their entries again: they are
+   doubted first, and removed only if they do not. */
 static void
 test_older_copy_lacks_endpoint (void)
 {
@@ -568,11 +577,11 @@
   struct fleet_endpoint *b;
 
   p->era = 1;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, endpoint_items (two, false));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 50, endpoint_items (two, false));
   p->era = 2;
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_HISTORY_LOST, 0, NULL);
   g_assert_true (p->reading[FOLLOW_ENDPOINTS]);
-  tell (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, endpoint_items (one, false));
+  send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, endpoint_items (one, false));
   b = g_hash_table_lookup (p->fleet.by_id, "b");
   g_assert_nonnull (b);
   g_assert_cmpint (b->missing_us, !=, 0);
--- a/regress/test-parts.c
+++ b/regress/test-parts.c
@@ -1,6 +1,6 @@
 /*
  * Unit tests of the directory of stored parts: what is fetched, what is saved
- * and where, and that nothing is freed while somebody may read it.
+ * and where, and that nothing is freed while it may still be read.
  */
 #include <glib.h>
 #include <string.h>
@@ -27,7 +27,8 @@
   g_hash_table_replace (c->services, sv->name, sv);
 }
 
-/* Two stores: a small fast one and a roomy slow one, both known and empty. */
+/* Two stores: a small fast one and a large slow one, both synchronized and
+   empty. */
 static void
 two_stores (struct parts *p)
 {
@@ -64,7 +65,7 @@
 }
 
 static void
-keep (struct parts *p, const char *store, const char *id, int64_t tokens)
+add_stored (struct parts *p, const char *store, const char *id, int64_t tokens)
 {
   struct part_stored h = { .tokens = tokens };
 
@@ -73,9 +74,10 @@
   parts_added (parts_find_store (p, store), &h);
 }
 
-/* Nothing is kept yet: shared parts are saved, small ones where a transfer
-   starts soon, large ones where there is room; the request's own is not.  The
-   next request does not save them again while that is under way. */
+/* Nothing is stored yet: shared parts are saved, small ones where a transfer
+   starts soon, large ones where there is capacity; the request's own part is
+   not saved.  The next request does not save the parts again while the saves
+   are in progress. */
 static void
 test_saves (void)
 {
@@ -95,10 +97,10 @@
 }
 
 /*
- * A prompt begins with a head that is too small to be worth a transfer by
- * itself.  Left to chance, it is often missing at an endpoint, and the part
- * behind it, fetched, is read all the same.  A prompt that shares next to
- * nothing is left alone.
+ * Guards against fetched parts that are prefilled again.  A prompt begins with
+ * a head that is too small to be worth a transfer by itself; if it is not
+ * fetched, it is often missing at an endpoint, and the part behind it cannot
+ * be used.  For a prompt that shares almost nothing, nothing is planned.
  */
 static void
 test_small_head (void)
@@ -114,8 +116,8 @@
   q.list = chain;
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nsave, ==, 2);
-  keep (&p, "fast", "tiny", 20);
-  keep (&p, "roomy", "draft", 8000);
+  add_stored (&p, "fast", "tiny", 20);
+  add_stored (&p, "roomy", "draft", 8000);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 2);
   q.list = little;
@@ -125,8 +127,8 @@
   parts_clear (&p);
 }
 
-/* A part that is kept whole is fetched; one kept in part is not: its missing
-   end would be read as if it were there. */
+/* A part that is stored complete is fetched; an incomplete one is not: the
+   request would use its missing end as if it were present. */
 static void
 test_whole_only (void)
 {
@@ -135,22 +137,22 @@
   struct parts_query q = query ();
 
   two_stores (&p);
-  keep (&p, "fast", "head", 512);
-  keep (&p, "roomy", "draft", 7999);
+  add_stored (&p, "fast", "head", 512);
+  add_stored (&p, "roomy", "draft", 7999);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpstr (plan.fetch[0], ==, "fast");
   g_assert_null (plan.fetch[1]);
-  keep (&p, "roomy", "draft", 8000);
+  add_stored (&p, "roomy", "draft", 8000);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpstr (plan.fetch[1], ==, "roomy");
   g_assert_cmpint (plan.fetch_tokens, ==, 8512);
-  /* Void a quarter second after now on the stores' clock. */
+  /* Expires 250 ms after now on the stores' clock. */
   g_assert_cmpint (plan.fetch_deadline_ms, ==, 50250);
   parts_clear (&p);
 }
 
-/* Another scope, of other weights or of a workspace that shares nothing, finds
-   nothing of it. */
+/* A part is not found under another scope: of other weights, or of a workspace
+   that shares nothing. */
 static void
 test_scopes (void)
 {
@@ -160,7 +162,7 @@
   char scope[PARTS_SCOPE_SIZE];
 
   two_stores (&p);
-  keep (&p, "fast", "head", 512);
+  add_stored (&p, "fast", "head", 512);
   parts_scope_name (scope, "m", 1, "weavers");
   q.scope = scope;
   parts_plan (&p, &q, 10 * S, &plan);
@@ -171,8 +173,8 @@
   parts_clear (&p);
 }
 
-/* A store restarts empty, does not answer, or is not heard of: nothing is
-   fetched from it until it answers. */
+/* A store restarts empty, does not reply, or was not polled: nothing is
+   fetched from it until it replies. */
 static void
 test_lost_store (void)
 {
@@ -181,7 +183,7 @@
   struct parts_query q = query ();
 
   two_stores (&p);
-  keep (&p, "fast", "head", 512);
+  add_stored (&p, "fast", "head", 512);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpint (plan.nfetch, ==, 1);
   parts_store_unreachable (parts_find_store (&p, "fast"));
@@ -200,8 +202,8 @@
   parts_clear (&p);
 }
 
-/* A full store drops nothing by itself, and a save it has no room for is
-   lost: the other one gets it, or none. */
+/* A full store evicts nothing by itself, and a save that exceeds its capacity
+   is lost: the part is saved to the other store, or to none. */
 static void
 test_full (void)
 {
@@ -210,19 +212,20 @@
   struct parts_query q = query ();
 
   two_stores (&p);
-  keep (&p, "fast", "x", 9400);
+  add_stored (&p, "fast", "x", 9400);
   parts_plan (&p, &q, 10 * S, &plan);
   g_assert_cmpstr (plan.save[0], ==, "roomy");
-  keep (&p, "roomy", "y", 90000);
+  add_stored (&p, "roomy", "y", 90000);
   parts_plan (&p, &q, 20 * S, &plan);
   g_assert_null (plan.save[1]);
   parts_clear (&p);
 }
 
 /*
- * Newer weights are named at zero.  VMs hear of it at any time, or are cut off
- * and hear nothing; one of them frees the old parts as soon as it may.  Over
- * all of these, no fetch of an old part may still be running then.
+ * Newer weights are named at time zero.  VMs learn of it at any time, or are
+ * partitioned and learn nothing; one of them frees the old parts as soon as it
+ * may.  In none of these cases may a fetch of an old part still be running
+ * then.
  */
 static void
 test_no_free_under_fetch (void)
@@ -235,8 +238,9 @@
     for (now = heard; now <= heard + 20 * S; now += 100 * MS)
       if (parts_may_free (heard, now) && now < first_free)
         first_free = now;
-  /* FRESH is when the VM's knowledge was current, HEARD when it heard, or
-     never; what it knew before the naming it knew at the latest at zero. */
+  /* FRESH is when the VM's information was current, HEARD when it learned of
+     the newer weights; information from before the naming was current at zero
+     at the latest. */
   for (fresh = -3 * S; fresh <= 0; fresh += 100 * MS)
     for (heard = 0; heard <= 20 * S; heard += 250 * MS)
       for (now = 0; now <= 20 * S; now += 100 * MS)
@@ -246,9 +250,9 @@
           struct parts_query q = query ();
           struct parts_store *s;
 
-          /* Times are shifted, so that none is zero. */
+          /* Times are shifted so that none is zero. */
           two_stores (&p);
-          keep (&p, "fast", "head", 512);
+          add_stored (&p, "fast", "head", 512);
           s = parts_find_store (&p, "fast");
           parts_store_replied (s, (100 * S + now) / MS, 100 * S + now);
           parts_store_synced (s, 100 * S + now);
@@ -267,10 +271,10 @@
 }
 
 /*
- * A store restarts empty at zero.  One VM hears of it at once, or later, and
- * has parts saved there again; another has not heard, and believes that the
- * store still holds them whole.  It must have stopped reading, with the
- * fetches that it began, before the first part can be there by half.
+ * A store restarts empty at time zero.  One VM detects that at once, or later,
+ * and saves parts there again; another has not detected it, and considers the
+ * parts still complete.  All fetches of the second VM must have expired before
+ * a part can be stored incompletely.
  */
 static void
 test_no_fetch_of_part_saved_again (void)
@@ -287,7 +291,7 @@
     for (now = 0; now <= 10 * S; now += 100 * MS)
       {
         two_stores (&p);
-        keep (&p, "fast", "head", 512);
+        add_stored (&p, "fast", "head", 512);
         s = parts_find_store (&p, "fast");
         parts_store_replied (s, 100 * S / MS, 100 * S);
         parts_store_synced (s, 100 * S + known);
@@ -320,9 +324,9 @@
 }
 
 /*
- * A store goes away and is back, empty, after two seconds.  A VM that has not
- * asked it since knows nothing of that; had it a part saved there, another VM
- * that does not know either could fetch it by half.
+ * A store is unavailable and comes back, empty, after two seconds.  A VM that
+ * has not polled it since must save nothing there: another VM that has not
+ * detected the restart either could fetch an incomplete part.
  */
 static void
 test_no_save_on_old_knowledge (void)
@@ -343,26 +347,26 @@
   parts_clear (&p);
 }
 
-/* --- following a store ----------------------------------------------- */
+/* --- polling a store ------------------------------------------------- */
 
-/* A played store: the test hands out each answer. */
-struct played
+/* A simulated store: the test sends each reply. */
+struct simulated_store
 {
-  struct loop *loop;     /* for pauses */
+  struct loop *loop;     /* runs the timers */
   struct parts parts;    /* directory */
   struct partfeed *feed; /* under test */
-  partfeed_done done;    /* waiting for news */
-  void *arg;             /* for it */
-  int64_t wait_us;       /* that the last poll asked for */
-  int polls;             /* so far */
-  bool stop_at_poll;     /* the next one ends the loop */
+  partfeed_done done;    /* callback of the call in progress */
+  void *arg;             /* its argument */
+  int64_t wait_us;       /* wait of the last poll */
+  int polls;             /* polls so far */
+  bool stop_at_poll;     /* the next poll ends the loop */
 };
 
 static void
-ask_events (void *ctx, const char *address, int64_t since, int64_t wait_us,
-            partfeed_done done, void *arg)
+poll_events (void *ctx, const char *address, int64_t since, int64_t wait_us,
+             partfeed_done done, void *arg)
 {
-  struct played *p = ctx;
+  struct simulated_store *p = ctx;
 
   (void)address;
   (void)since;
@@ -375,9 +379,9 @@
 }
 
 static void
-ask_list (void *ctx, const char *address, partfeed_done done, void *arg)
+read_list (void *ctx, const char *address, partfeed_done done, void *arg)
 {
-  struct played *p = ctx;
+  struct simulated_store *p = ctx;
 
   (void)address;
   p->done = done;
@@ -385,7 +389,7 @@
 }
 
 static void
-tell (struct played *p, enum partfeed_status code)
+send_reply (struct simulated_store *p, enum partfeed_status code)
 {
   struct partfeed_reply n = { .status = code, .epoch = 7, .clock_ms = 50000 };
 
@@ -395,44 +399,45 @@
 }
 
 /*
- * A store that many VMs follow turns a poll away.  Asked again at once it
- * would be turned away again, and the VM would know of nothing that is kept;
- * it pauses, asks for a short poll, and goes on pausing after an answer.  The
- * store counts as alive all the while, and as lost once it does not answer.
+ * A store that many VMs poll refuses a poll.  If the VM polled again
+ * immediately, it would be refused again, and would not learn what is stored.
+ * It must pause, send a short poll, and continue to pause after a reply.  The
+ * store counts as alive in the meantime, and as unreachable once it does not
+ * reply.
  */
 static void
 test_crowded_store (void)
 {
-  struct played p = { .loop = loop_new () };
+  struct simulated_store p = { .loop = loop_new () };
   struct partfeed_opts o = { .loop = p.loop, .parts = &p.parts, .seed = 1 };
   struct fleet_conf *c = fleet_conf_new ();
   struct parts_store *s;
   int64_t began;
 
-  o.ops.events = ask_events;
-  o.ops.list = ask_list;
+  o.ops.events = poll_events;
+  o.ops.list = read_list;
   o.ops.ctx = &p;
   add_store (c, "fast", 10000, 250000, 500);
   parts_init (&p.parts);
   p.feed = partfeed_new (&o);
   partfeed_take_conf (p.feed, c);
-  tell (&p, PARTFEED_OK);
+  send_reply (&p, PARTFEED_OK);
   g_assert_cmpint (p.polls, ==, 1);
   g_assert_cmpint (p.wait_us, ==, S);
   began = loop_now_us ();
-  tell (&p, PARTFEED_RATE_LIMITED);
+  send_reply (&p, PARTFEED_RATE_LIMITED);
   g_assert_cmpint (p.polls, ==, 1);
   p.stop_at_poll = true;
   loop_run (p.loop);
-  /* Half of the first pause, of 200 ms, at the least. */
+  /* At least half of the first pause, 200 ms. */
   g_assert_cmpint (loop_now_us () - began, >=, 95 * MS);
   g_assert_cmpint (p.wait_us, <, S);
   s = parts_find_store (&p.parts, "fast");
   g_assert_cmpint (s->replied_us, >=, began);
-  tell (&p, PARTFEED_OK);
+  send_reply (&p, PARTFEED_OK);
   g_assert_cmpint (p.polls, ==, 2);
   loop_run (p.loop);
-  tell (&p, PARTFEED_NO_REPLY);
+  send_reply (&p, PARTFEED_NO_REPLY);
   g_assert_cmpint (s->replied_us, ==, 0);
   partfeed_stop (p.feed);
   partfeed_free (p.feed);
@@ -442,7 +447,7 @@
 }
 
 static bool
-is_among (void *arg, uint64_t key, int places)
+ranks_within (void *arg, uint64_t key, int places)
 {
   const bool *among = arg;
 
@@ -451,13 +456,13 @@
   return *among;
 }
 
-/* Guards against polls without a pause, by more VMs than a store has room for:
-   one that follows it loosely pauses, always knows enough for fetches, and
-   saves only as long as its last poll is young. */
+/* Guards against continuous polls by more VMs than a store accepts.  A VM that
+   is not among the first pauses between polls, always has recent enough
+   information for fetches, and saves only shortly after a poll. */
 static void
 test_loose_follower (void)
 {
-  struct played p = { .loop = loop_new () };
+  struct simulated_store p = { .loop = loop_new () };
   struct partfeed_opts o = { .loop = p.loop, .parts = &p.parts, .seed = 1 };
   struct fleet_conf *c = fleet_conf_new ();
   struct parts_query q = query ();
@@ -467,28 +472,28 @@
   int64_t began, now;
   int i;
 
-  o.ops.events = ask_events;
-  o.ops.list = ask_list;
+  o.ops.events = poll_events;
+  o.ops.list = read_list;
   o.ops.ctx = &p;
-  o.ranks_within = is_among;
+  o.ranks_within = ranks_within;
   o.arg = &among;
   add_store (c, "fast", 100000, 250000, 500);
   parts_init (&p.parts);
   p.feed = partfeed_new (&o);
   partfeed_take_conf (p.feed, c);
-  tell (&p, PARTFEED_OK);
+  send_reply (&p, PARTFEED_OK);
   p.stop_at_poll = true;
   for (i = 0; i < 2; i++)
     {
       began = loop_now_us ();
-      tell (&p, PARTFEED_OK);
+      send_reply (&p, PARTFEED_OK);
       loop_run (p.loop);
       now = loop_now_us ();
       g_assert_cmpint (now - began, >=, S / 2);
       g_assert_cmpint (now - began, <, 2 * S);
       g_assert_cmpint (p.wait_us, <, S);
     }
-  keep (&p.parts, "fast", "draft", 8000);
+  add_stored (&p.parts, "fast", "draft", 8000);
   s = parts_find_store (&p.parts, "fast");
   s->no_save_until_us = 0;
   now = s->synced_us + 2 * S;
@@ -507,21 +512,21 @@
 }
 
 /*
- * A store starts again.  An answer of its life before, still on the way, lists
- * parts that are gone: fetched, they would be missed, or be read by half where
- * they are being saved anew.
+ * A store restarts.  A delayed reply of its previous incarnation lists parts
+ * that no longer exist: a fetch of them would find nothing, or an incomplete
+ * part that is being saved again.
  */
 static void
 test_store_of_life_before (void)
 {
-  struct played p = { .loop = loop_new () };
+  struct simulated_store p = { .loop = loop_new () };
   struct partfeed_opts o = { .loop = p.loop, .parts = &p.parts, .seed = 1 };
   struct fleet_conf *c = fleet_conf_new ();
   struct partfeed_reply n = { .status = PARTFEED_OK, .epoch = 8 };
   struct parts_store *s;
 
-  o.ops.events = ask_events;
-  o.ops.list = ask_list;
+  o.ops.events = poll_events;
+  o.ops.list = read_list;
   o.ops.ctx = &p;
   add_store (c, "fast", 10000, 250000, 500);
   parts_init (&p.parts);
@@ -538,7 +543,7 @@
   g_assert_cmpint (s->epoch, ==, 8);
   p.stop_at_poll = true;
   loop_run (p.loop);
-  /* Also where the epoch does not tell. */
+  /* A restart is detected also if the epoch is the same. */
   n.epoch = 8;
   n.born_ms = 3000;
   p.done (p.arg, &n);
