--- a/entry.c
+++ b/entry.c
@@ -122,7 +122,7 @@
 
   fleet_sweep (&e->fleet, now_us);
   evac_sweep (&e->fleet, now_us);
-  if (orders_held (e->orders))
+  if (orders_has_lease (e->orders))
     e->duty_us = now_us;
   if (e->duty_us != 0 && now_us - e->duty_us < FREE_DUTY_US)
     partfeed_free_outdated (e->feed, &e->fleet, now_us);
@@ -144,7 +144,7 @@
 {
   struct entry *e = arg;
 
-  orders_look (e->orders, now_us);
+  orders_check (e->orders, now_us);
   if (e->era != 0 && follow_era (e->follow) != e->era)
     {
       quarfeed_older_copy (e->quarfeed, now_us);
@@ -167,7 +167,7 @@
 
   entry_adapter.orders_ops (e->store, &o.ops);
   o.vm = vm->name;
-  o.gap_us = (e->cfg->order_gap_ms + ORDER_GAP_SPARE_MS) * CQ_US_PER_MS;
+  o.holder_gap_us = (e->cfg->order_gap_ms + ORDER_GAP_SPARE_MS) * CQ_US_PER_MS;
   o.seed = seed_of (vm);
   e->orders = orders_new (&o);
 }
@@ -449,7 +449,7 @@
 {
   if (e == NULL)
     return 0;
-  return follow_waiting (e->follow) + orders_waiting (e->orders)
+  return follow_waiting (e->follow) + orders_pending_calls (e->orders)
          + partfeed_waiting (e->feed) + quarfeed_waiting (e->quarfeed)
          + (e->tell != NULL ? tell_waiting (e->tell) : 0);
 }
--- a/lease.c
+++ b/lease.c
@@ -27,33 +27,33 @@
 }
 
 int64_t
-lease_local_us (const struct lease_clock *c, int64_t store_ms)
+lease_to_local_us (const struct lease_clock *c, int64_t store_ms)
 {
   /* The reading is cut to whole milliseconds. */
   return c->sent_us + (store_ms - c->store_ms - 1) * US_PER_MS;
 }
 
 void
-lease_note_named (struct lease_row *row, const struct lease_named *n)
+lease_add_naming (struct lease_row *row, const struct lease_naming *n)
 {
-  struct lease_named new = *n;
-  const struct lease_named *o;
+  struct lease_naming new = *n;
+  const struct lease_naming *o;
   int i;
 
-  for (i = 0; i < row->nnamed; i++)
+  for (i = 0; i < row->nnamings; i++)
     {
-      o = &row->named[i];
+      o = &row->namings[i];
       if (o->version == n->version && strcmp (o->model, n->model) == 0)
         break;
     }
-  if (i < row->nnamed && row->named[i].since_ms > new.since_ms)
-    new.since_ms = row->named[i].since_ms;
-  if (i == row->nnamed && row->nnamed == LEASE_NAMED_MAX)
+  if (i < row->nnamings && row->namings[i].since_ms > new.since_ms)
+    new.since_ms = row->namings[i].since_ms;
+  if (i == row->nnamings && row->nnamings == LEASE_NAMINGS_MAX)
     i = 0;
-  if (i < row->nnamed)
-    memmove (row->named + i, row->named + i + 1,
-             sizeof new *(size_t)(--row->nnamed - i));
-  row->named[row->nnamed++] = new;
+  if (i < row->nnamings)
+    memmove (row->namings + i, row->namings + i + 1,
+             sizeof new *(size_t)(--row->nnamings - i));
+  row->namings[row->nnamings++] = new;
 }
 
 /* "VM/LIFE": whether both are of one VM. */
--- a/lease.h
+++ b/lease.h
@@ -16,11 +16,11 @@
 
 #define LEASE_HOLDER_SIZE 96 /* bytes of a holder with its NUL */
 #define LEASE_MODEL_SIZE 64  /* bytes of a model's name with its NUL */
-#define LEASE_NAMED_MAX 16   /* namings of weights that a row holds */
+#define LEASE_NAMINGS_MAX 16 /* namings of weights that a row holds */
 
 /* When weights were named, for VMs that did not hear it then: none of a model
    from a version on before a moment. */
-struct lease_named
+struct lease_naming
 {
   char model[LEASE_MODEL_SIZE]; /* whose weights */
   int64_t version;              /* the lowest of them */
@@ -36,8 +36,9 @@
   int64_t order_until_ms; /* its orders end before, and those of holders before
                              it; 0: none was given */
   bool released;          /* it gives no more orders */
-  struct lease_named named[LEASE_NAMED_MAX]; /* the newest, oldest first */
-  int nnamed;                                /* entries in named */
+  struct lease_naming
+      namings[LEASE_NAMINGS_MAX]; /* the newest, oldest first */
+  int nnamings;                   /* entries in named */
 };
 
 /* One reading of the store's clock. */
@@ -53,11 +54,11 @@
 int64_t lease_latest_ms (const struct lease_clock *c, int64_t now_us);
 
 /* The moment on our clock before which the store's did not show STORE_MS. */
-int64_t lease_local_us (const struct lease_clock *c, int64_t store_ms);
+int64_t lease_to_local_us (const struct lease_clock *c, int64_t store_ms);
 
 /* Put a naming into the row as its newest, in place of the oldest if it is
    full; what the row knows of it already can only become later. */
-void lease_note_named (struct lease_row *row, const struct lease_named *n);
+void lease_add_naming (struct lease_row *row, const struct lease_naming *n);
 
 /* Whether HOLDER may try to take the lease over; ROW is NULL if there is
    none. */
--- a/libserver.h
+++ b/libserver.h
@@ -575,7 +575,7 @@
 
 /* --- other VMs (member.c) --- */
 
-struct memb_word;
+struct memb_update;
 
 struct member *member_new (struct server *s, GError **err);
 void member_free (struct member *m);
--- a/memb.c
+++ b/memb.c
@@ -12,7 +12,7 @@
 
 struct memb_table
 {
-  struct memb_word self;               /* this VM */
+  struct memb_update self;             /* this VM */
   GHashTable *by_name;                 /* name to memb, without this VM */
   APR_RING_HEAD (memb_ring, memb) all; /* the same */
   int self_spread;                     /* times the own word is passed on */
@@ -20,7 +20,7 @@
 };
 
 struct memb_table *
-memb_new (const struct memb_word *self)
+memb_new (const struct memb_update *self)
 {
   struct memb_table *t = g_new0 (struct memb_table, 1);
 
@@ -37,7 +37,7 @@
   g_free (t);
 }
 
-const struct memb_word *
+const struct memb_update *
 memb_self (const struct memb_table *t)
 {
   return &t->self;
@@ -49,7 +49,7 @@
   g_strlcpy (t->self.address, address, sizeof t->self.address);
   /* Who asked before the address was known has heard a word without it; with
      the same beat this one would be no news, and the VM be given up there. */
-  t->self.beat++;
+  t->self.seq++;
   t->self_spread = SPREAD;
 }
 
@@ -81,30 +81,30 @@
   const struct memb *m;
   int n = 0;
 
-  APR_RING_FOREACH (m, &t->all, memb, link) { n += m->word.state <= worst; }
+  APR_RING_FOREACH (m, &t->all, memb, link) { n += m->latest.state <= worst; }
   return n;
 }
 
 void
-memb_say (struct memb_table *t, enum memb_state state, uint64_t revision)
+memb_set_state (struct memb_table *t, enum memb_state state, uint64_t revision)
 {
   if (t->self.state == state && t->self.revision == revision)
     return;
   t->self.state = state;
   t->self.revision = revision;
-  t->self.beat++;
+  t->self.seq++;
   t->self_spread = SPREAD;
 }
 
 /* --- words --- */
 
 static bool
-newer (const struct memb_word *a, const struct memb_word *b)
+newer (const struct memb_update *a, const struct memb_update *b)
 {
   if (a->incarnation != b->incarnation)
     return a->incarnation > b->incarnation;
-  if (a->beat != b->beat)
-    return a->beat > b->beat;
+  if (a->seq != b->seq)
+    return a->seq > b->seq;
   return a->state > b->state;
 }
 
@@ -114,58 +114,59 @@
  * all while it serves.
  */
 static bool
-hear_of_self (struct memb_table *t, const struct memb_word *w)
+hear_of_self (struct memb_table *t, const struct memb_update *w)
 {
-  if (w->incarnation != t->self.incarnation || w->beat < t->self.beat
+  if (w->incarnation != t->self.incarnation || w->seq < t->self.seq
       || w->state == t->self.state)
     return false;
-  t->self.beat = w->beat + 1;
+  t->self.seq = w->seq + 1;
   t->self_spread = SPREAD;
   return true;
 }
 
 static struct memb *
-add (struct memb_table *t, const struct memb_word *w)
+add (struct memb_table *t, const struct memb_update *w)
 {
   struct memb *m = g_new0 (struct memb, 1);
 
-  m->word = *w;
+  m->latest = *w;
   APR_RING_INSERT_TAIL (&t->all, m, memb, link);
-  g_hash_table_insert (t->by_name, m->word.name, m);
+  g_hash_table_insert (t->by_name, m->latest.name, m);
   return m;
 }
 
 static void
 note_state (struct memb *m, enum memb_state before, int64_t now_us)
 {
-  m->spread = SPREAD;
-  if (m->word.state == MEMB_SUSPECT && before != MEMB_SUSPECT)
+  m->transmits_left = SPREAD;
+  if (m->latest.state == MEMB_SUSPECT && before != MEMB_SUSPECT)
     m->suspect_us = now_us;
-  if (m->word.state == MEMB_ALIVE)
-    m->missed = 0;
+  if (m->latest.state == MEMB_ALIVE)
+    m->missed_pings = 0;
 }
 
 /* Leaving is sticky: a later beat of the same life may say dead, but not that
    it serves again. */
 static enum memb_state
-sticky (const struct memb *m, const struct memb_word *w)
+sticky (const struct memb *m, const struct memb_update *w)
 {
-  if (m->word.incarnation == w->incarnation && m->word.state == MEMB_LEAVING
-      && w->state < MEMB_LEAVING)
+  if (m->latest.incarnation == w->incarnation
+      && m->latest.state == MEMB_LEAVING && w->state < MEMB_LEAVING)
     return MEMB_LEAVING;
   return w->state;
 }
 
 /* Any source may say that a life is leaving, however late it knows. */
 static bool
-leaves (const struct memb *m, const struct memb_word *w)
+leaves (const struct memb *m, const struct memb_update *w)
 {
-  return w->state == MEMB_LEAVING && w->incarnation == m->word.incarnation
-         && m->word.state < MEMB_LEAVING;
+  return w->state == MEMB_LEAVING && w->incarnation == m->latest.incarnation
+         && m->latest.state < MEMB_LEAVING;
 }
 
 bool
-memb_hear (struct memb_table *t, const struct memb_word *w, int64_t now_us)
+memb_apply_update (struct memb_table *t, const struct memb_update *w,
+                   int64_t now_us)
 {
   enum memb_state before;
   enum memb_state state;
@@ -183,15 +184,15 @@
       note_state (m, MEMB_ALIVE, now_us);
       return true;
     }
-  if (!newer (w, &m->word) && !leaves (m, w))
+  if (!newer (w, &m->latest) && !leaves (m, w))
     return false;
-  before = m->word.state;
+  before = m->latest.state;
   state = sticky (m, w);
-  if (w->incarnation != m->word.incarnation)
-    m->missed = 0;
-  if (newer (w, &m->word))
-    m->word = *w;
-  m->word.state = state;
+  if (w->incarnation != m->latest.incarnation)
+    m->missed_pings = 0;
+  if (newer (w, &m->latest))
+    m->latest = *w;
+  m->latest.state = state;
   note_state (m, before, now_us);
   return true;
 }
@@ -199,26 +200,26 @@
 /* --- questions --- */
 
 void
-memb_asked (struct memb *m, int64_t now_us)
+memb_ping_sent (struct memb *m, int64_t now_us)
 {
-  m->asked_us = now_us;
+  m->pinged_us = now_us;
 }
 
 void
-memb_answered (struct memb_table *t, struct memb *m, int64_t now_us)
+memb_ping_answered (struct memb_table *t, struct memb *m, int64_t now_us)
 {
   (void)t;
-  m->missed = 0;
-  m->heard_us = now_us;
+  m->missed_pings = 0;
+  m->answered_us = now_us;
 }
 
 void
-memb_missed (struct memb_table *t, struct memb *m, int64_t now_us)
+memb_ping_timed_out (struct memb_table *t, struct memb *m, int64_t now_us)
 {
   (void)t;
-  if (++m->missed < MISSES_SUSPECT || m->word.state != MEMB_ALIVE)
+  if (++m->missed_pings < MISSES_SUSPECT || m->latest.state != MEMB_ALIVE)
     return;
-  m->word.state = MEMB_SUSPECT;
+  m->latest.state = MEMB_SUSPECT;
   note_state (m, MEMB_ALIVE, now_us);
 }
 
@@ -230,17 +231,18 @@
   for (m = memb_first (t); m != NULL; m = next)
     {
       next = memb_next (t, m);
-      if (m->word.state == MEMB_SUSPECT && now_us - m->suspect_us > SUSPECT_US)
+      if (m->latest.state == MEMB_SUSPECT
+          && now_us - m->suspect_us > SUSPECT_US)
         {
-          m->word.state = MEMB_DEAD;
+          m->latest.state = MEMB_DEAD;
           m->suspect_us = now_us;
-          m->spread = SPREAD;
+          m->transmits_left = SPREAD;
         }
-      else if (m->word.state == MEMB_DEAD
+      else if (m->latest.state == MEMB_DEAD
                && now_us - m->suspect_us > FORGET_US)
         {
           APR_RING_REMOVE (m, link);
-          g_hash_table_remove (t->by_name, m->word.name);
+          g_hash_table_remove (t->by_name, m->latest.name);
         }
     }
 }
@@ -264,7 +266,7 @@
 static bool
 local (const struct memb_table *t, const struct memb *m)
 {
-  return strcmp (m->word.domain, t->self.domain) == 0;
+  return strcmp (m->latest.domain, t->self.domain) == 0;
 }
 
 /* Insert by falling weight; the list holds at most MAX. */
@@ -272,10 +274,10 @@
 keep_heaviest (const struct memb_table *t, struct memb **out, int n, int max,
                struct memb *m)
 {
-  uint64_t w = weigh (t->self.name, m->word.name);
+  uint64_t w = weigh (t->self.name, m->latest.name);
   int i;
 
-  for (i = n; i > 0 && weigh (t->self.name, out[i - 1]->word.name) < w; i--)
+  for (i = n; i > 0 && weigh (t->self.name, out[i - 1]->latest.name) < w; i--)
     if (i < max)
       out[i] = out[i - 1];
   if (i < max)
@@ -287,14 +289,14 @@
 static bool
 heaviest_of_domain (struct memb_table *t, const struct memb *m)
 {
-  uint64_t w = weigh (t->self.name, m->word.name);
+  uint64_t w = weigh (t->self.name, m->latest.name);
   const struct memb *o;
 
   APR_RING_FOREACH (o, &t->all, memb, link)
   {
-    if (strcmp (o->word.domain, m->word.domain) == 0
-        && o->word.state <= MEMB_SUSPECT
-        && weigh (t->self.name, o->word.name) > w)
+    if (strcmp (o->latest.domain, m->latest.domain) == 0
+        && o->latest.state <= MEMB_SUSPECT
+        && weigh (t->self.name, o->latest.name) > w)
       return false;
   }
   return true;
@@ -309,12 +311,12 @@
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (local (t, m) && m->word.state <= MEMB_SUSPECT)
+    if (local (t, m) && m->latest.state <= MEMB_SUSPECT)
       n = keep_heaviest (t, out, n, room, m);
   }
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (!local (t, m) && n < max && m->word.state <= MEMB_SUSPECT
+    if (!local (t, m) && n < max && m->latest.state <= MEMB_SUSPECT
         && heaviest_of_domain (t, m))
       out[n++] = m;
   }
@@ -327,7 +329,7 @@
  * neither watch it nor are watched by it.
  */
 static int
-repeat_old (struct memb_table *t, struct memb_word *out, int n, int max)
+repeat_old (struct memb_table *t, struct memb_update *out, int n, int max)
 {
   unsigned all = g_hash_table_size (t->by_name);
   struct memb *m;
@@ -344,30 +346,30 @@
     if (i++ < from || left == 0 || n == max)
       continue;
     left--;
-    if (m->word.state != MEMB_DEAD)
-      out[n++] = m->word;
+    if (m->latest.state != MEMB_DEAD)
+      out[n++] = m->latest;
   }
   return n;
 }
 
 int
-memb_rumors (struct memb_table *t, struct memb_word *out, int max)
+memb_rumors (struct memb_table *t, struct memb_update *out, int max)
 {
   struct memb *m;
   int n = 0;
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (m->spread <= 0 || n == max)
+    if (m->transmits_left <= 0 || n == max)
       continue;
-    m->spread--;
-    out[n++] = m->word;
+    m->transmits_left--;
+    out[n++] = m->latest;
   }
   return repeat_old (t, out, n, max);
 }
 
 bool
-memb_mine (struct memb_table *t, const char *key, int n)
+memb_is_responsible (struct memb_table *t, const char *key, int n)
 {
   uint64_t own = weigh (key, t->self.name);
   const struct memb *m;
@@ -375,8 +377,8 @@
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (local (t, m) && m->word.state <= MEMB_SUSPECT
-        && weigh (key, m->word.name) > own)
+    if (local (t, m) && m->latest.state <= MEMB_SUSPECT
+        && weigh (key, m->latest.name) > own)
       before++;
   }
   return before < n;
@@ -397,21 +399,21 @@
 /* One of the dead, in turn, to be asked whether it is back: a partition
    heals without a word from outside. */
 struct memb *
-memb_one_dead (struct memb_table *t, unsigned turn)
+memb_pick_dead (struct memb_table *t, unsigned turn)
 {
   struct memb *m;
   int n = 0;
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    n += m->word.state == MEMB_DEAD;
+    n += m->latest.state == MEMB_DEAD;
   }
   if (n == 0)
     return NULL;
   turn %= (unsigned)n;
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (m->word.state == MEMB_DEAD && turn-- == 0)
+    if (m->latest.state == MEMB_DEAD && turn-- == 0)
       return m;
   }
   return NULL;
--- a/memb.h
+++ b/memb.h
@@ -27,13 +27,13 @@
 };
 
 /* What is said of a VM. */
-struct memb_word
+struct memb_update
 {
   char name[MEMB_NAME_SIZE];    /* its name */
   char domain[MEMB_NAME_SIZE];  /* its failure domain */
   char address[MEMB_NAME_SIZE]; /* where it hears peers */
   uint64_t incarnation;         /* which life */
-  uint32_t beat;                /* grows with each word of its own */
+  uint32_t seq;                 /* grows with each word of its own */
   enum memb_state state;        /* how it is */
   uint64_t revision;            /* of the settings in force there */
 };
@@ -42,36 +42,38 @@
 struct memb
 {
   APR_RING_ENTRY (memb) link; /* among all */
-  struct memb_word word;      /* newest word */
-  int64_t heard_us;           /* when it last answered us, 0 for never */
-  int64_t asked_us;           /* when we last asked it */
-  int missed;                 /* questions without an answer, in a row */
+  struct memb_update latest;  /* newest word */
+  int64_t answered_us;        /* when it last answered us, 0 for never */
+  int64_t pinged_us;          /* when we last asked it */
+  int missed_pings;           /* questions without an answer, in a row */
   int64_t suspect_us;         /* since when it is suspect */
-  int spread;                 /* times the newest word is still passed on */
+  int transmits_left;         /* times the newest word is still passed on */
 };
 
 struct memb_table;
 
-struct memb_table *memb_new (const struct memb_word *self);
+struct memb_table *memb_new (const struct memb_update *self);
 void memb_free (struct memb_table *t);
 int memb_count (const struct memb_table *t, enum memb_state worst);
-const struct memb_word *memb_self (const struct memb_table *t);
+const struct memb_update *memb_self (const struct memb_table *t);
 void memb_set_address (struct memb_table *t, const char *address);
 struct memb *memb_find (struct memb_table *t, const char *name);
 struct memb *memb_first (struct memb_table *t);
 struct memb *memb_next (struct memb_table *t, struct memb *m);
 
 /* Change what this VM says of itself. */
-void memb_say (struct memb_table *t, enum memb_state state, uint64_t revision);
+void memb_set_state (struct memb_table *t, enum memb_state state,
+                     uint64_t revision);
 
 /* Hear a word about a VM; true if it was news. */
-bool memb_hear (struct memb_table *t, const struct memb_word *word,
-                int64_t now_us);
+bool memb_apply_update (struct memb_table *t, const struct memb_update *word,
+                        int64_t now_us);
 
 /* A question was sent, answered, or not answered in time. */
-void memb_asked (struct memb *m, int64_t now_us);
-void memb_answered (struct memb_table *t, struct memb *m, int64_t now_us);
-void memb_missed (struct memb_table *t, struct memb *m, int64_t now_us);
+void memb_ping_sent (struct memb *m, int64_t now_us);
+void memb_ping_answered (struct memb_table *t, struct memb *m, int64_t now_us);
+void memb_ping_timed_out (struct memb_table *t, struct memb *m,
+                          int64_t now_us);
 
 /* Suspects that did not refute it in time are dead; the dead are forgotten
    after a while. */
@@ -81,13 +83,13 @@
    in each other domain. */
 int memb_neighbours (struct memb_table *t, struct memb **out, int max);
 
-struct memb *memb_one_dead (struct memb_table *t, unsigned turn);
+struct memb *memb_pick_dead (struct memb_table *t, unsigned turn);
 
 /* Newest words to pass on. */
-int memb_rumors (struct memb_table *t, struct memb_word *out, int max);
+int memb_rumors (struct memb_table *t, struct memb_update *out, int max);
 
 /* Whether this VM is among the N of its domain that do the job KEY. */
-bool memb_mine (struct memb_table *t, const char *key, int n);
+bool memb_is_responsible (struct memb_table *t, const char *key, int n);
 
 const char *memb_state_name (enum memb_state state);
 
--- a/member.c
+++ b/member.c
@@ -47,25 +47,25 @@
 /* --- words and messages --- */
 
 static void
-to_wire (const struct memb_word *w, peer_member *p)
+to_wire (const struct memb_update *w, peer_member *p)
 {
   p->name = (char *)w->name;
   p->domain = (char *)w->domain;
   p->address = (char *)w->address;
   p->incarnation = w->incarnation;
-  p->beat = w->beat;
+  p->beat = w->seq;
   p->state = w->state;
   p->revision = w->revision;
 }
 
 static void
-from_wire (const peer_member *p, struct memb_word *w)
+from_wire (const peer_member *p, struct memb_update *w)
 {
   g_strlcpy (w->name, p->name, sizeof w->name);
   g_strlcpy (w->domain, p->domain, sizeof w->domain);
   g_strlcpy (w->address, p->address, sizeof w->address);
   w->incarnation = p->incarnation;
-  w->beat = p->beat;
+  w->seq = p->beat;
   w->state = p->state <= MEMB_DEAD ? (enum memb_state)p->state : MEMB_DEAD;
   w->revision = p->revision;
 }
@@ -91,7 +91,7 @@
 static GByteArray *
 make_ping (struct member *m, const char *receiver, bool answer)
 {
-  struct memb_word words[PEER_RUMORS_MAX];
+  struct memb_update words[PEER_RUMORS_MAX];
   peer_member wire[PEER_RUMORS_MAX];
   peer_pong pong = { 0 };
   peer_fresh fresh;
@@ -105,8 +105,8 @@
   to_wire (memb_self (m->table), &pong.ping.self);
   n = memb_rumors (m->table, words, PEER_RUMORS_MAX - 1);
   about = memb_find (m->table, receiver);
-  if (about != NULL && about->word.state != MEMB_ALIVE)
-    words[n++] = about->word;
+  if (about != NULL && about->latest.state != MEMB_ALIVE)
+    words[n++] = about->latest;
   for (i = 0; i < n; i++)
     to_wire (&words[i], &wire[i]);
   pong.ping.rumors.rumors_len = (u_int)n;
@@ -120,13 +120,13 @@
 static void
 hear_one (struct member *m, const peer_member *p)
 {
-  struct memb_word w = { .incarnation = 0 };
+  struct memb_update w = { .incarnation = 0 };
   int64_t now = loop_now_us ();
   bool news;
 
   from_wire (p, &w);
   g_mutex_lock (&m->lock);
-  news = memb_hear (m->table, &w, now);
+  news = memb_apply_update (m->table, &w, now);
   g_mutex_unlock (&m->lock);
   if (news)
     log_event (LOG_LEVEL_INFO, "member",
@@ -294,9 +294,9 @@
   g_mutex_lock (&m->lock);
   who = memb_find (m->table, a->name);
   if (who != NULL && reply != NULL)
-    memb_answered (m->table, who, now);
+    memb_ping_answered (m->table, who, now);
   else if (who != NULL)
-    memb_missed (m->table, who, now);
+    memb_ping_timed_out (m->table, who, now);
   g_mutex_unlock (&m->lock);
   if (m->server->conf != NULL && reply != NULL)
     conf_hear_revision (m->server->conf, revision);
@@ -319,7 +319,7 @@
 /* Names and addresses of those to ask now.  Other domains are asked more
    rarely, except when there is news. */
 static int
-choose (struct member *m, bool far, struct memb_word *out)
+choose (struct member *m, bool far, struct memb_update *out)
 {
   struct memb *who[NEIGHBOURS_MAX];
   const struct memb *dead;
@@ -333,13 +333,13 @@
   domain = memb_self (m->table)->domain;
   near = memb_neighbours (m->table, who, NEIGHBOURS_MAX - 1);
   for (i = 0; i < near; i++)
-    if (far || strcmp (who[i]->word.domain, domain) == 0)
-      out[n++] = who[i]->word;
+    if (far || strcmp (who[i]->latest.domain, domain) == 0)
+      out[n++] = who[i]->latest;
   dead = m->turn % DEAD_EVERY == 0
-             ? memb_one_dead (m->table, m->turn / DEAD_EVERY)
+             ? memb_pick_dead (m->table, m->turn / DEAD_EVERY)
              : NULL;
   if (dead != NULL)
-    out[n++] = dead->word;
+    out[n++] = dead->latest;
   g_mutex_unlock (&m->lock);
   return n;
 }
@@ -374,7 +374,7 @@
 static void
 ask_neighbours (struct member *m, bool far)
 {
-  struct memb_word words[NEIGHBOURS_MAX];
+  struct memb_update words[NEIGHBOURS_MAX];
   int n = choose (m, far, words);
   int i;
 
@@ -480,7 +480,7 @@
 member_ask_changes (struct member *m, uint64_t revision, int max)
 {
   peer_changes ask = { .revision = revision };
-  struct memb_word words[NEIGHBOURS_MAX];
+  struct memb_update words[NEIGHBOURS_MAX];
   struct memb *o;
   int n = 0;
   int i;
@@ -488,8 +488,8 @@
   g_mutex_lock (&m->lock);
   for (o = memb_first (m->table); o != NULL && n < MIN (max, NEIGHBOURS_MAX);
        o = memb_next (m->table, o))
-    if (o->word.state <= MEMB_SUSPECT && o->word.revision > revision)
-      words[n++] = o->word;
+    if (o->latest.state <= MEMB_SUSPECT && o->latest.revision > revision)
+      words[n++] = o->latest;
   g_mutex_unlock (&m->lock);
   for (i = 0; i < n; i++)
     {
@@ -514,7 +514,7 @@
       = server_phase (m->server) >= PHASE_NOTICE ? MEMB_LEAVING : MEMB_ALIVE;
 
   g_mutex_lock (&m->lock);
-  memb_say (m->table, state, revision);
+  memb_set_state (m->table, state, revision);
   g_mutex_unlock (&m->lock);
   if (!m->leaving)
     ask_neighbours (m, true);
@@ -526,7 +526,7 @@
   bool mine;
 
   g_mutex_lock (&m->lock);
-  mine = memb_mine (m->table, key, n);
+  mine = memb_is_responsible (m->table, key, n);
   g_mutex_unlock (&m->lock);
   return mine;
 }
@@ -540,8 +540,8 @@
   g_mutex_lock (&m->lock);
   for (o = memb_first (m->table); o != NULL;
        o = memb_next (m->table, (struct memb *)o))
-    if (o->word.state <= MEMB_SUSPECT && o->word.revision > most)
-      most = o->word.revision;
+    if (o->latest.state <= MEMB_SUSPECT && o->latest.revision > most)
+      most = o->latest.revision;
   g_mutex_unlock (&m->lock);
   return most;
 }
@@ -556,7 +556,7 @@
   g_mutex_lock (&m->lock);
   for (o = memb_first (m->table); o != NULL;
        o = memb_next (m->table, (struct memb *)o))
-    n += o->word.state <= MEMB_SUSPECT && o->heard_us > 0;
+    n += o->latest.state <= MEMB_SUSPECT && o->answered_us > 0;
   g_mutex_unlock (&m->lock);
   return n;
 }
@@ -582,7 +582,7 @@
 }
 
 static json_t *
-word_json (const struct memb_word *w, int64_t heard_us, int64_t now)
+word_json (const struct memb_update *w, int64_t heard_us, int64_t now)
 {
   return json_pack ("{s:s,s:s,s:s,s:s,s:I,s:I,s:I}", "name", w->name, "domain",
                     w->domain, "address", w->address, "state",
@@ -603,7 +603,7 @@
   json_array_append_new (list, word_json (memb_self (m->table), now, now));
   for (o = memb_first (m->table); o != NULL;
        o = memb_next (m->table, (struct memb *)o))
-    json_array_append_new (list, word_json (&o->word, o->heard_us, now));
+    json_array_append_new (list, word_json (&o->latest, o->answered_us, now));
   g_mutex_unlock (&m->lock);
   return list;
 }
@@ -622,7 +622,7 @@
   const struct cfg_vm *vm = cfg_vm (server_cfg (s));
   struct member *m = g_new0 (struct member, 1);
   struct peers_opts o = { .listen = vm->peer_listen, .answer = on_call };
-  struct memb_word self = { .beat = 1, .state = MEMB_ALIVE };
+  struct memb_update self = { .seq = 1, .state = MEMB_ALIVE };
   g_auto (GStrv) keys = g_strsplit_set (vm->peer_keys, " ", -1);
 
   m->server = s;
--- a/naming.c
+++ b/naming.c
@@ -30,7 +30,7 @@
 }
 
 bool
-naming_in_doubt (const struct fleet *f, int64_t read_us)
+naming_is_uncertain (const struct fleet *f, int64_t read_us)
 {
   const struct fleet_endpoint *e;
 
@@ -45,14 +45,14 @@
 /* Also of versions that this VM cannot have heard: a row that knows of them
    tells since when weights older than these are outdated. */
 void
-naming_learn (struct fleet *f, const struct lease_clock *clock,
-              const struct lease_row *row)
+naming_read_row (struct fleet *f, const struct lease_clock *clock,
+                 const struct lease_row *row)
 {
-  const struct lease_named *n;
+  const struct lease_naming *n;
 
-  for (n = row->named; n < row->named + row->nnamed; n++)
+  for (n = row->namings; n < row->namings + row->nnamings; n++)
     fleet_named_since (f, n->model, n->version,
-                       lease_local_us (clock, n->since_ms));
+                       lease_to_local_us (clock, n->since_ms));
 }
 
 /* What was named when this VM heard of it was not named later, whatever the
@@ -61,10 +61,10 @@
 correct_row (const struct fleet *f, const struct lease_clock *clock,
              struct lease_row *row)
 {
-  struct lease_named *n;
+  struct lease_naming *n;
   int64_t heard;
 
-  for (n = row->named; n < row->named + row->nnamed; n++)
+  for (n = row->namings; n < row->namings + row->nnamings; n++)
     {
       heard = fleet_heard_from (f, n->model, n->version);
       if (heard != FLEET_NEVER)
@@ -74,11 +74,11 @@
 
 /* Only what bears on an endpoint that is to change: the row holds few. */
 void
-naming_record (const struct fleet *f, const struct lease_clock *clock,
-               struct lease_row *row)
+naming_write_row (const struct fleet *f, const struct lease_clock *clock,
+                  struct lease_row *row)
 {
   const struct fleet_endpoint *e;
-  struct lease_named n;
+  struct lease_naming n;
   int64_t since;
 
   correct_row (f, clock, row);
@@ -90,6 +90,6 @@
     g_strlcpy (n.model, e->is.model, sizeof n.model);
     n.version = e->version + 1;
     n.since_ms = lease_earliest_ms (clock, since);
-    lease_note_named (row, &n);
+    lease_add_naming (row, &n);
   }
 }
--- a/orders.c
+++ b/orders.c
@@ -185,7 +185,7 @@
   read_clock (o, r, now);
   switch (r->code)
     {
-    case LEASE_DONE:
+    case LEASE_OK:
       o->row = o->asked;
       if (!o->row.released)
         take (o, r);
@@ -235,7 +235,7 @@
   if (aim == LEASE_RELEASE)
     w->order_until_ms
         = MIN (w->order_until_ms, lease_latest_ms (&o->clock, now_us));
-  naming_record (o->opts.fleet, &o->clock, w);
+  naming_write_row (o->opts.fleet, &o->clock, w);
   o->calling = true;
   o->called_us = now_us;
   o->opts.ops.write_lease (o->opts.ops.ctx, w, expected, on_written, o);
@@ -254,7 +254,7 @@
 inherit (struct orders *o, const struct lease_row *row)
 {
   int64_t begin
-      = lease_begin_ms (row, o->holder, o->opts.gap_us / CQ_US_PER_MS);
+      = lease_begin_ms (row, o->holder, o->opts.holder_gap_us / CQ_US_PER_MS);
 
   if (row != NULL)
     o->row = *row;
@@ -285,7 +285,7 @@
   memset (&r->row, 0, sizeof r->row);
   r->row.released = true;
   r->row.order_until_ms = r->store_ms + UNREADABLE_END_MS;
-  if (r->store_ms <= 0 && r->code == LEASE_DONE)
+  if (r->store_ms <= 0 && r->code == LEASE_OK)
     r->code = LEASE_UNKNOWN;
 }
 
@@ -304,18 +304,18 @@
     return;
   if (r->exists && r->unreadable)
     take_unreadable (r);
-  if (r->code == LEASE_DONE)
+  if (r->code == LEASE_OK)
     {
       read_clock (o, r, now);
       if (r->exists)
-        naming_learn (o->opts.fleet, &o->clock, &r->row);
+        naming_read_row (o->opts.fleet, &o->clock, &r->row);
       o->read_us = o->called_us;
     }
   if (!drawn)
     return;
   o->patient_us = now + PATIENCE_US / 4
                   + g_rand_int_range (o->rand, 0, (gint32)DRAW_MAX_US);
-  if (r->code != LEASE_DONE)
+  if (r->code != LEASE_OK)
     return;
   if (is_ours (o, r))
     o->row = r->row;
@@ -332,8 +332,8 @@
 static void
 reach_for_lease (struct orders *o, int64_t now_us)
 {
-  bool doubt
-      = now_us >= o->doubt_us && naming_in_doubt (o->opts.fleet, o->read_us);
+  bool doubt = now_us >= o->doubt_us
+               && naming_is_uncertain (o->opts.fleet, o->read_us);
 
   if (o->calling || (now_us < o->patient_us && !doubt))
     return;
@@ -461,7 +461,7 @@
 on_ordered (void *arg, enum order_code code, const struct notice *notice)
 {
   static const char *const names[] = {
-    [ORDER_ACCEPTED] = "accepted", [ORDER_HOLDS] = "holds",
+    [ORDER_ACCEPTED] = "accepted", [ORDER_UP_TO_DATE] = "holds",
     [ORDER_BUSY] = "busy",         [ORDER_REJECTED] = "rejected",
     [ORDER_UNKNOWN] = "unknown",
   };
@@ -478,7 +478,7 @@
              t->endpoint->is.id, names[code], t->order.model,
              (gint64)t->order.version, (gint64)t->order.seq,
              (gint64)t->order.fence);
-  if (code == ORDER_HOLDS)
+  if (code == ORDER_UP_TO_DATE)
     fleet_take_version (t->endpoint, t->order.version, t->since_us, now);
   if (code == ORDER_REJECTED)
     task_set (t, TASK_SKIPPED, now);
@@ -503,7 +503,7 @@
    * Waiting for them to end would hold the endpoint idle for longer than the
    * load itself takes.
    */
-  t->order.runs_go_on = true;
+  t->order.continue_running = true;
   t->busy = true;
   t->unanswered = false;
   t->endpoint->reload_us = now_us;
@@ -524,7 +524,7 @@
 is_same_life (struct task *t, const struct endpoint_state *s, int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
-  enum fleet_life life = fleet_life_of (e, s->born_ms);
+  enum fleet_life life = fleet_life_of (e, s->started_ms);
 
   if (e->gone || life == FLEET_LIFE_SAME || life == FLEET_LIFE_UNSAID)
     return !e->gone;
@@ -533,9 +533,9 @@
              " before_ms=%" G_GINT64_FORMAT,
              e->is.id,
              life == FLEET_LIFE_YOUNGER ? "started_again" : "passed_over",
-             (gint64)s->born_ms, (gint64)e->is.born_ms);
+             (gint64)s->started_ms, (gint64)e->is.born_ms);
   if (life == FLEET_LIFE_YOUNGER)
-    fleet_take_birth (t->orders->opts.fleet, e, s->born_ms, now_us);
+    fleet_take_birth (t->orders->opts.fleet, e, s->started_ms, now_us);
   return false;
 }
 
@@ -610,7 +610,7 @@
 
   t->busy = true;
   t->asked_us = now_us;
-  o->opts.ops.state (o->opts.ops.ctx, t->endpoint, on_state, t);
+  o->opts.ops.query_state (o->opts.ops.ctx, t->endpoint, on_state, t);
 }
 
 static void
@@ -776,7 +776,7 @@
 }
 
 void
-orders_look (struct orders *o, int64_t now_us)
+orders_check (struct orders *o, int64_t now_us)
 {
   look (o, now_us);
 }
@@ -814,13 +814,13 @@
 }
 
 bool
-orders_held (const struct orders *o)
+orders_has_lease (const struct orders *o)
 {
   return o->held;
 }
 
 int
-orders_waiting (const struct orders *o)
+orders_pending_calls (const struct orders *o)
 {
   const struct task *t;
   int n = o->calling;
--- a/orders.h
+++ b/orders.h
@@ -18,7 +18,7 @@
 
 enum lease_code
 {
-  LEASE_DONE,     /* read, or written */
+  LEASE_OK,       /* read, or written */
   LEASE_CONFLICT, /* somebody else wrote first: the row is theirs */
   LEASE_REFUSED,  /* over a rate, or turned away: nothing was done */
   LEASE_UNKNOWN   /* no answer: it may have been written */
@@ -42,7 +42,7 @@
 struct endpoint_state
 {
   bool reached;         /* it answered */
-  int64_t born_ms;      /* start of the life that answered, 0 if unsaid */
+  int64_t started_ms;   /* start of the life that answered, 0 if unsaid */
   bool busy;            /* it carries out an order */
   int64_t seq;          /* orders it has taken */
   int64_t version;      /* weights of its model */
@@ -55,21 +55,21 @@
 /* An order to load weights. */
 struct load_order
 {
-  const char *model;  /* whose weights */
-  int64_t version;    /* to load */
-  const char *holder; /* who orders */
-  int64_t fence;      /* grows with each holder */
-  int64_t seq;        /* orders that the endpoint must have taken */
-  bool runs_go_on;    /* under the new weights; else they end first */
+  const char *model;     /* whose weights */
+  int64_t version;       /* to load */
+  const char *holder;    /* who orders */
+  int64_t fence;         /* grows with each holder */
+  int64_t seq;           /* orders that the endpoint must have taken */
+  bool continue_running; /* under the new weights; else they end first */
 };
 
 enum order_code
 {
-  ORDER_ACCEPTED, /* it is being carried out */
-  ORDER_HOLDS,    /* nothing is left to do */
-  ORDER_BUSY,     /* another order came first */
-  ORDER_REJECTED, /* the endpoint does not take it */
-  ORDER_UNKNOWN   /* no answer: it may be carried out, even later */
+  ORDER_ACCEPTED,   /* it is being carried out */
+  ORDER_UP_TO_DATE, /* nothing is left to do */
+  ORDER_BUSY,       /* another order came first */
+  ORDER_REJECTED,   /* the endpoint does not take it */
+  ORDER_UNKNOWN     /* no answer: it may be carried out, even later */
 };
 
 /* NOTICE is NULL if that endpoint did not answer. */
@@ -82,8 +82,8 @@
   /* Write ROW if the row's version is EXPECTED, 0 if there must be none. */
   void (*write_lease) (void *ctx, const struct lease_row *row,
                        int64_t expected, lease_done done, void *arg);
-  void (*state) (void *ctx, const struct fleet_endpoint *e, state_done done,
-                 void *arg);
+  void (*query_state) (void *ctx, const struct fleet_endpoint *e,
+                       state_done done, void *arg);
   /* MAY_SEND is asked just before the first byte. */
   void (*order) (void *ctx, const struct fleet_endpoint *e,
                  const struct load_order *order, bool (*may_send) (void *arg),
@@ -97,7 +97,7 @@
   struct fleet *fleet;   /* beliefs */
   struct orders_ops ops; /* adapter */
   const char *vm;        /* this VM's name */
-  int64_t gap_us;        /* between orders of two holders */
+  int64_t holder_gap_us; /* between orders of two holders */
   uint64_t seed;         /* of pauses */
 };
 
@@ -105,13 +105,13 @@
 
 struct orders *orders_new (const struct orders_opts *opts);
 /* Beliefs changed: look whether there is something to do. */
-void orders_look (struct orders *o, int64_t now_us);
+void orders_check (struct orders *o, int64_t now_us);
 /* Give no more orders, and let the lease go. */
 void orders_stop (struct orders *o);
 void orders_free (struct orders *o);
 /* Whether this VM is the one that gives orders. */
-bool orders_held (const struct orders *o);
+bool orders_has_lease (const struct orders *o);
 /* Calls under way. */
-int orders_waiting (const struct orders *o);
+int orders_pending_calls (const struct orders *o);
 
 #endif
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -101,7 +101,7 @@
   struct news_item it = { .kind = NEWS_CONF, .row = 1 };
   g_autoptr (GArray) items = g_array_new (FALSE, TRUE, sizeof it);
   struct news n
-      = { .code = e->reply.code == LEASE_DONE ? NEWS_OK : NEWS_SILENT };
+      = { .code = e->reply.code == LEASE_OK ? NEWS_OK : NEWS_SILENT };
 
   n.version = e->reply.version;
   n.store_ms = e->reply.store_ms;
--- a/regress/modellives.c
+++ b/regress/modellives.c
@@ -27,7 +27,7 @@
   if (f == NULL || e->expected <= f->version_us || world_is_off (OFF_DOUBT))
     return;
   fleet_doubt_version (f);
-  orders_look (v->orders, world.now_us);
+  orders_check (v->orders, world.now_us);
 }
 
 static void
--- a/regress/modelstore.c
+++ b/regress/modelstore.c
@@ -30,7 +30,7 @@
 static void
 fill_reply (struct lease_reply *r, int vm)
 {
-  r->code = LEASE_DONE;
+  r->code = LEASE_OK;
   r->exists = world.row_version > 0;
   r->row = world.row;
   r->version = world.row_version;
@@ -40,7 +40,7 @@
   if (world_is_off (OFF_BEGIN))
     r->row.begin_ms = 0;
   if (world_is_off (OFF_RECORD))
-    r->row.nnamed = 0;
+    r->row.nnamings = 0;
 }
 
 static struct event *
@@ -158,7 +158,7 @@
       bool done_now = write_row (row, expected);
 
       fill_reply (&e->reply, v->index);
-      e->reply.code = done_now ? LEASE_DONE : LEASE_CONFLICT;
+      e->reply.code = done_now ? LEASE_OK : LEASE_CONFLICT;
       if (way == WRITE_UNTOLD)
         no_answer (e, LEASE_UNKNOWN, TIMEOUT_US);
     }
@@ -217,7 +217,7 @@
       = g_array_new (FALSE, TRUE, sizeof (struct news_item));
 
   n.items = items;
-  if (e->reply.code == LEASE_DONE)
+  if (e->reply.code == LEASE_OK)
     {
       n.code = NEWS_OK;
       n.version = e->reply.version;
@@ -243,7 +243,7 @@
   a->arg = e->arg;
   a->source = e->source;
   a->after = e->after;
-  a->reply.code = LEASE_DONE;
+  a->reply.code = LEASE_OK;
   a->reply.version = world.changes;
   a->reply.store_ms = world.now_us / MS;
   a->naming = world.nnamings - 1;
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -280,7 +280,7 @@
 {
   struct vm *v = arg;
 
-  orders_look (v->orders, now_us);
+  orders_check (v->orders, now_us);
 }
 
 /* Of pauses: another for each life. */
@@ -297,11 +297,11 @@
   static const char *const names[WORLD_VMS] = { "a", "b", "c" };
 
   world_lease_ops (&o.ops);
-  o.ops.state = state;
+  o.ops.query_state = state;
   o.ops.order = order;
   o.ops.ctx = v;
   o.vm = names[world_is_off (OFF_SAME_VM) ? 0 : v->index];
-  o.gap_us = world_is_off (OFF_GAP) ? 0 : (WORLD_LEASE_MS + 150) * MS;
+  o.holder_gap_us = world_is_off (OFF_GAP) ? 0 : (WORLD_LEASE_MS + 150) * MS;
   o.seed = seed_of (v);
   v->orders = orders_new (&o);
 }
@@ -332,7 +332,7 @@
     return;
   n = &world.namings[world.nnamings - 1];
   fleet_take_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
-  orders_look (v->orders, world.now_us);
+  orders_check (v->orders, world.now_us);
 }
 
 void
@@ -440,7 +440,7 @@
   e->is.seq = w->seq;
   e->is.version = w->version;
   e->is.busy = w->busy;
-  e->is.born_ms = w->born_ms;
+  e->is.started_ms = w->born_ms;
 }
 
 static void
@@ -451,7 +451,7 @@
   struct fleet_endpoint *f = g_hash_table_lookup (v->fleet.by_id, id);
 
   fleet_take_version (f, e->is.version, FLEET_NEVER, world.now_us);
-  orders_look (v->orders, world.now_us);
+  orders_check (v->orders, world.now_us);
 }
 
 static void
@@ -536,7 +536,7 @@
 
   world_list (e->endpoint, &l);
   fleet_take_listing (&v->fleet, &l, world.now_us);
-  orders_look (v->orders, world.now_us);
+  orders_check (v->orders, world.now_us);
 }
 
 void
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -153,7 +153,7 @@
 static void
 read_lease (void *ctx, lease_done done, void *arg)
 {
-  reply_row (ctx, LEASE_DONE, done, arg);
+  reply_row (ctx, LEASE_OK, done, arg);
 }
 
 static void
@@ -162,7 +162,7 @@
   struct stage *st = arg;
 
   (void)now_us;
-  reply_row (st, LEASE_DONE, st->late_done, st->late_arg);
+  reply_row (st, LEASE_OK, st->late_done, st->late_arg);
 }
 
 static void
@@ -196,7 +196,7 @@
       loop_arm (st->loop, &st->late, loop_now_us () + st->slow_us);
     }
   else
-    reply_row (st, LEASE_DONE, done, arg);
+    reply_row (st, LEASE_OK, done, arg);
 }
 
 static void
@@ -209,7 +209,7 @@
   if (st->mute)
     return;
   s.busy = st->busy;
-  s.born_ms = st->born_ms;
+  s.started_ms = st->born_ms;
   s.seq = st->seq;
   if (st->each_busy)
     {
@@ -255,7 +255,8 @@
 stage_new (void)
 {
   struct stage *st = g_new0 (struct stage, 1);
-  struct orders_opts o = { .vm = "vm", .gap_us = GAP_MS * MS, .seed = 3 };
+  struct orders_opts o
+      = { .vm = "vm", .holder_gap_us = GAP_MS * MS, .seed = 3 };
   struct fleet_listing l = { .version = 1, .slots = 4 };
 
   st->loop = loop_new ();
@@ -270,7 +271,7 @@
   o.fleet = &st->fleet;
   o.ops.read_lease = read_lease;
   o.ops.write_lease = write_lease;
-  o.ops.state = state;
+  o.ops.query_state = state;
   o.ops.order = order;
   o.ops.ctx = st;
   st->orders = orders_new (&o);
@@ -339,7 +340,7 @@
   int64_t now = loop_now_us ();
 
   fleet_take_wanted (&st->fleet, "m", 2, now, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
 }
 
 /* A version is named: the lease is taken, one order given, the effect read
@@ -507,7 +508,7 @@
   /* Older than what a report may be old by. */
   endpoint_of (st)->version_us = loop_now_us () - 2 * CQ_US_PER_S;
   fleet_doubt_version (endpoint_of (st));
-  orders_look (st->orders, loop_now_us ());
+  orders_check (st->orders, loop_now_us ());
   wait_until (st, was_sent_again);
   wait_until (st, is_released);
   g_assert_false (endpoint_of (st)->version_doubted);
@@ -521,7 +522,7 @@
   int64_t now = loop_now_us ();
 
   fleet_take_wanted (&st->fleet, "m", 2, 0, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
 }
 
 /* Version 2 was not named before. */
@@ -550,14 +551,14 @@
 test_naming_recorded (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named n = { "m", 2, store_ms (st) - 10000 };
+  struct lease_naming n = { "m", 2, store_ms (st) - 10000 };
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_note_named (&st->row, &n);
+  lease_add_naming (&st->row, &n);
   fleet_take_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
   g_assert_false (has_grace (st, INT64_MAX));
-  orders_look (st->orders, loop_now_us ());
+  orders_check (st->orders, loop_now_us ());
   g_assert_true (has_grace (st, 12 * CQ_US_PER_S));
   g_assert_false (has_grace (st, 9900 * MS));
   /* That was a question, not an attempt to take the lease. */
@@ -580,14 +581,14 @@
 test_naming_unrecorded (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named n = { "m", 2, store_ms (st) - 1000 };
+  struct lease_naming n = { "m", 2, store_ms (st) - 1000 };
   int64_t began = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   hear_late (st);
   g_assert_false (has_grace (st, INT64_MAX));
-  lease_note_named (&st->row, &n);
+  lease_add_naming (&st->row, &n);
   st->row_version++;
   wait_until (st, has_four_seconds);
   g_assert_cmpint (loop_now_us () - began, <, 900 * MS);
@@ -622,7 +623,7 @@
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   g_assert_cmpint (not_before (st), ==, now - 1000 * MS);
   stage_free (st);
 }
@@ -633,22 +634,22 @@
 test_naming_written (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named other = { "n", 7, 1234 };
+  struct lease_naming other = { "n", 7, 1234 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  lease_note_named (&st->row, &other);
+  lease_add_naming (&st->row, &other);
   fleet_take_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   wait_until (st, is_released);
-  g_assert_cmpint (st->row.nnamed, ==, 2);
-  g_assert_cmpstr (st->row.named[0].model, ==, "n");
-  g_assert_cmpint (st->row.named[0].since_ms, ==, 1234);
-  g_assert_cmpint (st->row.named[1].version, ==, 2);
-  g_assert_cmpint (st->row.named[1].since_ms, >=,
+  g_assert_cmpint (st->row.nnamings, ==, 2);
+  g_assert_cmpstr (st->row.namings[0].model, ==, "n");
+  g_assert_cmpint (st->row.namings[0].since_ms, ==, 1234);
+  g_assert_cmpint (st->row.namings[1].version, ==, 2);
+  g_assert_cmpint (st->row.namings[1].since_ms, >=,
                    now / MS - 700 + st->clock_offset_ms - 2);
-  g_assert_cmpint (st->row.named[1].since_ms, <=,
+  g_assert_cmpint (st->row.namings[1].since_ms, <=,
                    now / MS - 700 + st->clock_offset_ms);
   stage_free (st);
 }
@@ -709,16 +710,16 @@
 test_naming_between_unheard (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named two = { "m", 2, store_ms (st) - 10000 };
-  struct lease_named three = { "m", 3, store_ms (st) - 2000 };
+  struct lease_naming two = { "m", 2, store_ms (st) - 10000 };
+  struct lease_naming three = { "m", 3, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_note_named (&st->row, &two);
-  lease_note_named (&st->row, &three);
+  lease_add_naming (&st->row, &two);
+  lease_add_naming (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, 0, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
@@ -729,17 +730,17 @@
 test_naming_between_cut_off (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named two = { "m", 2, store_ms (st) - 10000 };
-  struct lease_named three = { "m", 3, store_ms (st) - 2000 };
+  struct lease_naming two = { "m", 2, store_ms (st) - 10000 };
+  struct lease_naming three = { "m", 3, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_note_named (&st->row, &two);
-  lease_note_named (&st->row, &three);
+  lease_add_naming (&st->row, &two);
+  lease_add_naming (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
@@ -760,14 +761,14 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
-  for (i = 1; i <= LEASE_NAMED_MAX; i++)
+  for (i = 1; i <= LEASE_NAMINGS_MAX; i++)
     fleet_take_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
   fleet_take_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   wait_until (st, is_released);
-  for (i = 0; i < st->row.nnamed; i++)
-    found |= strcmp (st->row.named[i].model, "m") == 0
-             && st->row.named[i].version == 2;
+  for (i = 0; i < st->row.nnamings; i++)
+    found |= strcmp (st->row.namings[i].model, "m") == 0
+             && st->row.namings[i].version == 2;
   g_assert_true (found);
   stage_free (st);
 }
@@ -781,18 +782,18 @@
 test_naming_not_after_heard (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named late = { "m", 2, store_ms (st) - 2000 };
+  struct lease_naming late = { "m", 2, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  lease_note_named (&st->row, &late);
+  lease_add_naming (&st->row, &late);
   fleet_take_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (not_before (st), <=, now - 10000 * MS);
   /* Nor does this VM hand the error on. */
-  g_assert_cmpint (st->row.named[0].since_ms, <=, store_ms (st) - 10000);
+  g_assert_cmpint (st->row.namings[0].since_ms, <=, store_ms (st) - 10000);
   stage_free (st);
 }
 
@@ -811,7 +812,7 @@
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
@@ -827,7 +828,7 @@
 test_naming_recorded_later (void)
 {
   struct stage *st = stage_new ();
-  struct lease_named known = { "m", 2, store_ms (st) - 10000 };
+  struct lease_naming known = { "m", 2, store_ms (st) - 10000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
@@ -836,7 +837,7 @@
   hear_late (st);
   /* The one that knows has it written now, and orders nothing. */
   st->row_version = 6;
-  lease_note_named (&st->row, &known);
+  lease_add_naming (&st->row, &known);
   st->hold_busy = true;
   wait_until (st, row_is_ours);
   g_assert_cmpint (loop_now_us () - now, <, 2 * CQ_US_PER_S);
@@ -898,7 +899,7 @@
 static bool
 is_quiet (const struct stage *st)
 {
-  return orders_waiting (st->orders) == 0;
+  return orders_pending_calls (st->orders) == 0;
 }
 
 /*
@@ -1064,18 +1065,18 @@
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
-  struct lease_named two = { .model = "m", .version = 2 };
-  struct lease_named three = { .model = "m", .version = 3 };
+  struct lease_naming two = { .model = "m", .version = 2 };
+  struct lease_naming three = { .model = "m", .version = 3 };
   const struct fleet_endpoint *e = APR_RING_FIRST (&st->fleet.endpoints);
 
   two.since_ms = store_ms (st) - 12000;
   three.since_ms = store_ms (st) - 2000;
   st->row = row ("other/1", store_ms (st) + 1600);
-  lease_note_named (&st->row, &two);
-  lease_note_named (&st->row, &three);
+  lease_add_naming (&st->row, &two);
+  lease_add_naming (&st->row, &three);
   st->row_version = 7;
   fleet_take_wanted (&st->fleet, "m", 3, 0, now);
-  orders_look (st->orders, now);
+  orders_check (st->orders, now);
   g_assert_true (
       fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
   /* What has version 2 already is outdated since 3 was named. */
@@ -1113,7 +1114,7 @@
   started->row = running->row;
   started->row_version = running->row_version;
   fleet_take_wanted (&started->fleet, "m", 2, 0, loop_now_us ());
-  orders_look (started->orders, loop_now_us ());
+  orders_check (started->orders, loop_now_us ());
   now = loop_now_us ();
   g_assert_true (fleet_outdated_for (
       &started->fleet, APR_RING_FIRST (&started->fleet.endpoints),
--- a/regress/test-units.c
+++ b/regress/test-units.c
@@ -600,11 +600,11 @@
 
 /* --- members --- */
 
-static struct memb_word
+static struct memb_update
 word (const char *name, const char *domain, uint64_t life, uint32_t beat,
       enum memb_state state)
 {
-  struct memb_word w = { .incarnation = life, .beat = beat, .state = state };
+  struct memb_update w = { .incarnation = life, .seq = beat, .state = state };
 
   g_strlcpy (w.name, name, sizeof w.name);
   g_strlcpy (w.domain, domain, sizeof w.domain);
@@ -614,7 +614,7 @@
 static enum memb_state
 state_of (struct memb_table *t, const char *name)
 {
-  return memb_find (t, name)->word.state;
+  return memb_find (t, name)->latest.state;
 }
 
 /*
@@ -624,24 +624,24 @@
 static void
 test_member_leaving (void)
 {
-  struct memb_word self = word ("self", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update self = word ("self", "d", 1, 1, MEMB_ALIVE);
   struct memb_table *t = memb_new (&self);
-  struct memb_word w = word ("a", "d", 7, 5, MEMB_ALIVE);
+  struct memb_update w = word ("a", "d", 7, 5, MEMB_ALIVE);
 
-  g_assert_true (memb_hear (t, &w, 0));
+  g_assert_true (memb_apply_update (t, &w, 0));
   /* The platform's list knows no beats. */
   w = word ("a", "d", 7, 0, MEMB_LEAVING);
-  g_assert_true (memb_hear (t, &w, 1));
+  g_assert_true (memb_apply_update (t, &w, 1));
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_LEAVING);
   w = word ("a", "d", 7, 0, MEMB_ALIVE);
-  g_assert_false (memb_hear (t, &w, 2));
+  g_assert_false (memb_apply_update (t, &w, 2));
   w = word ("a", "d", 7, 9, MEMB_ALIVE);
-  memb_hear (t, &w, 3);
+  memb_apply_update (t, &w, 3);
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_LEAVING);
   w = word ("a", "d", 6, 99, MEMB_ALIVE);
-  g_assert_false (memb_hear (t, &w, 4));
+  g_assert_false (memb_apply_update (t, &w, 4));
   w = word ("a", "d", 8, 1, MEMB_ALIVE);
-  g_assert_true (memb_hear (t, &w, 5));
+  g_assert_true (memb_apply_update (t, &w, 5));
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_ALIVE);
   memb_free (t);
 }
@@ -651,28 +651,28 @@
 static void
 test_member_suspect (void)
 {
-  struct memb_word self = word ("self", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update self = word ("self", "d", 1, 1, MEMB_ALIVE);
   struct memb_table *t = memb_new (&self);
-  struct memb_word w = word ("a", "d", 7, 1, MEMB_ALIVE);
+  struct memb_update w = word ("a", "d", 7, 1, MEMB_ALIVE);
   struct memb *m;
   int i;
 
-  memb_hear (t, &w, 0);
+  memb_apply_update (t, &w, 0);
   m = memb_find (t, "a");
   for (i = 0; i < 3; i++)
-    memb_missed (t, m, i);
+    memb_ping_timed_out (t, m, i);
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_SUSPECT);
   memb_tick (t, CQ_US_PER_S);
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_SUSPECT);
   memb_tick (t, 3 * CQ_US_PER_S);
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_DEAD);
   w = word ("a", "d", 7, 2, MEMB_ALIVE);
-  g_assert_true (memb_hear (t, &w, 4 * CQ_US_PER_S));
+  g_assert_true (memb_apply_update (t, &w, 4 * CQ_US_PER_S));
   g_assert_cmpint (state_of (t, "a"), ==, MEMB_ALIVE);
   /* Said of ourselves: refuted by a later beat. */
   w = word ("self", "d", 1, 1, MEMB_DEAD);
-  g_assert_true (memb_hear (t, &w, 5 * CQ_US_PER_S));
-  g_assert_cmpint (memb_self (t)->beat, ==, 2);
+  g_assert_true (memb_apply_update (t, &w, 5 * CQ_US_PER_S));
+  g_assert_cmpint (memb_self (t)->seq, ==, 2);
   memb_free (t);
 }
 
@@ -684,15 +684,15 @@
 static void
 test_member_address (void)
 {
-  struct memb_word self = word ("self", "d", 1, 1, MEMB_ALIVE);
-  struct memb_word other = word ("other", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update self = word ("self", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update other = word ("other", "d", 1, 1, MEMB_ALIVE);
   struct memb_table *a = memb_new (&self);
   struct memb_table *b = memb_new (&other);
 
-  memb_hear (b, memb_self (a), 0);
+  memb_apply_update (b, memb_self (a), 0);
   memb_set_address (a, "127.0.0.1:9");
-  g_assert_true (memb_hear (b, memb_self (a), 1));
-  g_assert_cmpstr (memb_find (b, "self")->word.address, ==, "127.0.0.1:9");
+  g_assert_true (memb_apply_update (b, memb_self (a), 1));
+  g_assert_cmpstr (memb_find (b, "self")->latest.address, ==, "127.0.0.1:9");
   memb_free (a);
   memb_free (b);
 }
@@ -704,12 +704,12 @@
 static void
 test_member_newcomer (void)
 {
-  struct memb_word self = word ("self", "d", 1, 1, MEMB_ALIVE);
-  struct memb_word late = word ("late", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update self = word ("self", "d", 1, 1, MEMB_ALIVE);
+  struct memb_update late = word ("late", "d", 1, 1, MEMB_ALIVE);
   struct memb_table *a = memb_new (&self);
   struct memb_table *b = memb_new (&late);
-  struct memb_word out[32];
-  struct memb_word w;
+  struct memb_update out[32];
+  struct memb_update w;
   char name[16];
   int round, n, i;
 
@@ -717,7 +717,7 @@
     {
       g_snprintf (name, sizeof name, "vm%d", i);
       w = word (name, "d", 1, 1, MEMB_ALIVE);
-      memb_hear (a, &w, 0);
+      memb_apply_update (a, &w, 0);
     }
   for (round = 0; round < 100; round++)
     memb_rumors (a, out, 32);
@@ -726,7 +726,7 @@
       n = memb_rumors (a, out, 32);
       g_assert_cmpint (n, <=, 2);
       for (i = 0; i < n; i++)
-        memb_hear (b, &out[i], 1);
+        memb_apply_update (b, &out[i], 1);
     }
   g_assert_cmpint (memb_count (b, MEMB_ALIVE), ==, 50);
   memb_free (a);
@@ -745,7 +745,7 @@
   };
   struct memb_table *tables[VMS];
   struct memb *out[32];
-  struct memb_word w;
+  struct memb_update w;
   char name[16];
   char domain[16];
   int i, k, hands = 0;
@@ -761,11 +761,11 @@
           g_snprintf (domain, sizeof domain, "d%d", k / VMS);
           w = word (name, domain, 1, 1, MEMB_ALIVE);
           if (k != i)
-            memb_hear (tables[i], &w, 0);
+            memb_apply_update (tables[i], &w, 0);
         }
       g_assert_cmpint (memb_neighbours (tables[i], out, 32), ==,
                        3 + DOMAINS - 1);
-      hands += memb_mine (tables[i], "config/head", 2);
+      hands += memb_is_responsible (tables[i], "config/head", 2);
     }
   g_assert_cmpint (hands, ==, 2);
   for (i = 0; i < VMS; i++)
