--- a/lease.c
+++ b/lease.c
@@ -34,26 +34,28 @@
 }
 
 void
-lease_add_naming (struct lease_row *row, const struct lease_naming *n)
+lease_add_announcement (struct lease_row *row,
+                        const struct lease_announcement *n)
 {
-  struct lease_naming new = *n;
-  const struct lease_naming *o;
+  struct lease_announcement new = *n;
+  const struct lease_announcement *o;
   int i;
 
-  for (i = 0; i < row->nnamings; i++)
+  for (i = 0; i < row->nannouncements; i++)
     {
-      o = &row->namings[i];
+      o = &row->announcements[i];
       if (o->version == n->version && strcmp (o->model, n->model) == 0)
         break;
     }
-  if (i < row->nnamings && row->namings[i].since_ms > new.since_ms)
-    new.since_ms = row->namings[i].since_ms;
-  if (i == row->nnamings && row->nnamings == LEASE_NAMINGS_MAX)
+  if (i < row->nannouncements && row->announcements[i].since_ms > new.since_ms)
+    new.since_ms = row->announcements[i].since_ms;
+  if (i == row->nannouncements
+      && row->nannouncements == LEASE_ANNOUNCEMENTS_MAX)
     i = 0;
-  if (i < row->nnamings)
-    memmove (row->namings + i, row->namings + i + 1,
-             sizeof new *(size_t)(--row->nnamings - i));
-  row->namings[row->nnamings++] = new;
+  if (i < row->nannouncements)
+    memmove (row->announcements + i, row->announcements + i + 1,
+             sizeof new *(size_t)(--row->nannouncements - i));
+  row->announcements[row->nannouncements++] = new;
 }
 
 /* "VM/LIFE": whether both are of one VM. */
--- a/lease.h
+++ b/lease.h
@@ -14,13 +14,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LEASE_HOLDER_SIZE 96 /* bytes of a holder with its NUL */
-#define LEASE_MODEL_SIZE 64  /* bytes of a model's name with its NUL */
-#define LEASE_NAMINGS_MAX 16 /* namings of weights that a row holds */
+#define LEASE_HOLDER_SIZE 96       /* bytes of a holder with its NUL */
+#define LEASE_MODEL_SIZE 64        /* bytes of a model's name with its NUL */
+#define LEASE_ANNOUNCEMENTS_MAX 16 /* namings of weights that a row holds */
 
 /* When weights were named, for VMs that did not hear it then: none of a model
    from a version on before a moment. */
-struct lease_naming
+struct lease_announcement
 {
   char model[LEASE_MODEL_SIZE]; /* whose weights */
   int64_t version;              /* the lowest of them */
@@ -36,9 +36,9 @@
   int64_t order_until_ms; /* its orders end before, and those of holders before
                              it; 0: none was given */
   bool released;          /* it gives no more orders */
-  struct lease_naming
-      namings[LEASE_NAMINGS_MAX]; /* the newest, oldest first */
-  int nnamings;                   /* entries in named */
+  struct lease_announcement
+      announcements[LEASE_ANNOUNCEMENTS_MAX]; /* the newest, oldest first */
+  int nannouncements;                         /* entries in named */
 };
 
 /* One reading of the store's clock. */
@@ -58,7 +58,8 @@
 
 /* Put a naming into the row as its newest, in place of the oldest if it is
    full; what the row knows of it already can only become later. */
-void lease_add_naming (struct lease_row *row, const struct lease_naming *n);
+void lease_add_announcement (struct lease_row *row,
+                             const struct lease_announcement *n);
 
 /* Whether HOLDER may try to take the lease over; ROW is NULL if there is
    none. */
--- a/naming.c
+++ b/naming.c
@@ -30,7 +30,7 @@
 }
 
 bool
-naming_is_uncertain (const struct fleet *f, int64_t read_us)
+announce_is_uncertain (const struct fleet *f, int64_t read_us)
 {
   const struct fleet_endpoint *e;
 
@@ -45,12 +45,13 @@
 /* Also of versions that this VM cannot have heard: a row that knows of them
    tells since when weights older than these are outdated. */
 void
-naming_read_row (struct fleet *f, const struct lease_clock *clock,
-                 const struct lease_row *row)
+announce_read_row (struct fleet *f, const struct lease_clock *clock,
+                   const struct lease_row *row)
 {
-  const struct lease_naming *n;
+  const struct lease_announcement *n;
 
-  for (n = row->namings; n < row->namings + row->nnamings; n++)
+  for (n = row->announcements; n < row->announcements + row->nannouncements;
+       n++)
     fleet_named_since (f, n->model, n->version,
                        lease_to_local_us (clock, n->since_ms));
 }
@@ -61,10 +62,11 @@
 correct_row (const struct fleet *f, const struct lease_clock *clock,
              struct lease_row *row)
 {
-  struct lease_naming *n;
+  struct lease_announcement *n;
   int64_t heard;
 
-  for (n = row->namings; n < row->namings + row->nnamings; n++)
+  for (n = row->announcements; n < row->announcements + row->nannouncements;
+       n++)
     {
       heard = fleet_heard_from (f, n->model, n->version);
       if (heard != FLEET_NEVER)
@@ -74,11 +76,11 @@
 
 /* Only what bears on an endpoint that is to change: the row holds few. */
 void
-naming_write_row (const struct fleet *f, const struct lease_clock *clock,
-                  struct lease_row *row)
+announce_write_row (const struct fleet *f, const struct lease_clock *clock,
+                    struct lease_row *row)
 {
   const struct fleet_endpoint *e;
-  struct lease_naming n;
+  struct lease_announcement n;
   int64_t since;
 
   correct_row (f, clock, row);
@@ -90,6 +92,6 @@
     g_strlcpy (n.model, e->is.model, sizeof n.model);
     n.version = e->version + 1;
     n.since_ms = lease_earliest_ms (clock, since);
-    lease_add_naming (row, &n);
+    lease_add_announcement (row, &n);
   }
 }
--- a/naming.h
+++ b/naming.h
@@ -14,12 +14,13 @@
 
 /* Whether it is not known well since when weights of some endpoint are
    outdated, and the row, read last at READ_US, may tell. */
-bool naming_is_uncertain (const struct fleet *f, int64_t read_us);
+bool announce_is_uncertain (const struct fleet *f, int64_t read_us);
 /* Take over what the row says; CLOCK is a reading of the store's clock. */
-void naming_read_row (struct fleet *f, const struct lease_clock *clock,
-                      const struct lease_row *row);
+void announce_read_row (struct fleet *f, const struct lease_clock *clock,
+                        const struct lease_row *row);
 /* Put what is known into a row that is to be written. */
-void naming_write_row (const struct fleet *f, const struct lease_clock *clock,
-                       struct lease_row *row);
+void announce_write_row (const struct fleet *f,
+                         const struct lease_clock *clock,
+                         struct lease_row *row);
 
 #endif
--- a/orders.c
+++ b/orders.c
@@ -235,7 +235,7 @@
   if (aim == LEASE_RELEASE)
     w->order_until_ms
         = MIN (w->order_until_ms, lease_latest_ms (&o->clock, now_us));
-  naming_write_row (o->opts.fleet, &o->clock, w);
+  announce_write_row (o->opts.fleet, &o->clock, w);
   o->calling = true;
   o->called_us = now_us;
   o->opts.ops.write_lease (o->opts.ops.ctx, w, expected, on_written, o);
@@ -308,7 +308,7 @@
     {
       read_clock (o, r, now);
       if (r->exists)
-        naming_read_row (o->opts.fleet, &o->clock, &r->row);
+        announce_read_row (o->opts.fleet, &o->clock, &r->row);
       o->read_us = o->called_us;
     }
   if (!drawn)
@@ -333,7 +333,7 @@
 reach_for_lease (struct orders *o, int64_t now_us)
 {
   bool doubt = now_us >= o->doubt_us
-               && naming_is_uncertain (o->opts.fleet, o->read_us);
+               && announce_is_uncertain (o->opts.fleet, o->read_us);
 
   if (o->calling || (now_us < o->patient_us && !doubt))
     return;
--- a/regress/modelstore.c
+++ b/regress/modelstore.c
@@ -40,7 +40,7 @@
   if (world_is_off (OFF_BEGIN))
     r->row.begin_ms = 0;
   if (world_is_off (OFF_RECORD))
-    r->row.nnamings = 0;
+    r->row.nannouncements = 0;
 }
 
 static struct event *
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -551,11 +551,11 @@
 test_naming_recorded (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming n = { "m", 2, store_ms (st) - 10000 };
+  struct lease_announcement n = { "m", 2, store_ms (st) - 10000 };
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_add_naming (&st->row, &n);
+  lease_add_announcement (&st->row, &n);
   fleet_take_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
   g_assert_false (has_grace (st, INT64_MAX));
   orders_check (st->orders, loop_now_us ());
@@ -581,14 +581,14 @@
 test_naming_unrecorded (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming n = { "m", 2, store_ms (st) - 1000 };
+  struct lease_announcement n = { "m", 2, store_ms (st) - 1000 };
   int64_t began = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   hear_late (st);
   g_assert_false (has_grace (st, INT64_MAX));
-  lease_add_naming (&st->row, &n);
+  lease_add_announcement (&st->row, &n);
   st->row_version++;
   wait_until (st, has_four_seconds);
   g_assert_cmpint (loop_now_us () - began, <, 900 * MS);
@@ -634,22 +634,22 @@
 test_naming_written (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming other = { "n", 7, 1234 };
+  struct lease_announcement other = { "n", 7, 1234 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  lease_add_naming (&st->row, &other);
+  lease_add_announcement (&st->row, &other);
   fleet_take_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
   orders_check (st->orders, now);
   wait_until (st, is_released);
-  g_assert_cmpint (st->row.nnamings, ==, 2);
-  g_assert_cmpstr (st->row.namings[0].model, ==, "n");
-  g_assert_cmpint (st->row.namings[0].since_ms, ==, 1234);
-  g_assert_cmpint (st->row.namings[1].version, ==, 2);
-  g_assert_cmpint (st->row.namings[1].since_ms, >=,
+  g_assert_cmpint (st->row.nannouncements, ==, 2);
+  g_assert_cmpstr (st->row.announcements[0].model, ==, "n");
+  g_assert_cmpint (st->row.announcements[0].since_ms, ==, 1234);
+  g_assert_cmpint (st->row.announcements[1].version, ==, 2);
+  g_assert_cmpint (st->row.announcements[1].since_ms, >=,
                    now / MS - 700 + st->clock_offset_ms - 2);
-  g_assert_cmpint (st->row.namings[1].since_ms, <=,
+  g_assert_cmpint (st->row.announcements[1].since_ms, <=,
                    now / MS - 700 + st->clock_offset_ms);
   stage_free (st);
 }
@@ -710,14 +710,14 @@
 test_naming_between_unheard (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming two = { "m", 2, store_ms (st) - 10000 };
-  struct lease_naming three = { "m", 3, store_ms (st) - 2000 };
+  struct lease_announcement two = { "m", 2, store_ms (st) - 10000 };
+  struct lease_announcement three = { "m", 3, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_add_naming (&st->row, &two);
-  lease_add_naming (&st->row, &three);
+  lease_add_announcement (&st->row, &two);
+  lease_add_announcement (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, 0, now);
   orders_check (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
@@ -730,14 +730,14 @@
 test_naming_between_cut_off (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming two = { "m", 2, store_ms (st) - 10000 };
-  struct lease_naming three = { "m", 3, store_ms (st) - 2000 };
+  struct lease_announcement two = { "m", 2, store_ms (st) - 10000 };
+  struct lease_announcement three = { "m", 3, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  lease_add_naming (&st->row, &two);
-  lease_add_naming (&st->row, &three);
+  lease_add_announcement (&st->row, &two);
+  lease_add_announcement (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   orders_check (st->orders, now);
@@ -761,14 +761,14 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
-  for (i = 1; i <= LEASE_NAMINGS_MAX; i++)
+  for (i = 1; i <= LEASE_ANNOUNCEMENTS_MAX; i++)
     fleet_take_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
   fleet_take_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
   orders_check (st->orders, now);
   wait_until (st, is_released);
-  for (i = 0; i < st->row.nnamings; i++)
-    found |= strcmp (st->row.namings[i].model, "m") == 0
-             && st->row.namings[i].version == 2;
+  for (i = 0; i < st->row.nannouncements; i++)
+    found |= strcmp (st->row.announcements[i].model, "m") == 0
+             && st->row.announcements[i].version == 2;
   g_assert_true (found);
   stage_free (st);
 }
@@ -782,18 +782,19 @@
 test_naming_not_after_heard (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming late = { "m", 2, store_ms (st) - 2000 };
+  struct lease_announcement late = { "m", 2, store_ms (st) - 2000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  lease_add_naming (&st->row, &late);
+  lease_add_announcement (&st->row, &late);
   fleet_take_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
   orders_check (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (not_before (st), <=, now - 10000 * MS);
   /* Nor does this VM hand the error on. */
-  g_assert_cmpint (st->row.namings[0].since_ms, <=, store_ms (st) - 10000);
+  g_assert_cmpint (st->row.announcements[0].since_ms, <=,
+                   store_ms (st) - 10000);
   stage_free (st);
 }
 
@@ -828,7 +829,7 @@
 test_naming_recorded_later (void)
 {
   struct stage *st = stage_new ();
-  struct lease_naming known = { "m", 2, store_ms (st) - 10000 };
+  struct lease_announcement known = { "m", 2, store_ms (st) - 10000 };
   int64_t now = loop_now_us ();
 
   st->row = row ("other/1", store_ms (st) - 1);
@@ -837,7 +838,7 @@
   hear_late (st);
   /* The one that knows has it written now, and orders nothing. */
   st->row_version = 6;
-  lease_add_naming (&st->row, &known);
+  lease_add_announcement (&st->row, &known);
   st->hold_busy = true;
   wait_until (st, row_is_ours);
   g_assert_cmpint (loop_now_us () - now, <, 2 * CQ_US_PER_S);
@@ -1065,15 +1066,15 @@
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
-  struct lease_naming two = { .model = "m", .version = 2 };
-  struct lease_naming three = { .model = "m", .version = 3 };
+  struct lease_announcement two = { .model = "m", .version = 2 };
+  struct lease_announcement three = { .model = "m", .version = 3 };
   const struct fleet_endpoint *e = APR_RING_FIRST (&st->fleet.endpoints);
 
   two.since_ms = store_ms (st) - 12000;
   three.since_ms = store_ms (st) - 2000;
   st->row = row ("other/1", store_ms (st) + 1600);
-  lease_add_naming (&st->row, &two);
-  lease_add_naming (&st->row, &three);
+  lease_add_announcement (&st->row, &two);
+  lease_add_announcement (&st->row, &three);
   st->row_version = 7;
   fleet_take_wanted (&st->fleet, "m", 3, 0, now);
   orders_check (st->orders, now);
