--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o tell.o tellword.o evt.o relay.o relaytry.o \
 	relayadmit.o relaywork.o relayquar.o relaycrash.o reqid.o quar.o \
 	quarwire.o quarfeed.o follow.o \
-	lease.o naming.o orders.o parts.o partfeed.o evac.o
+	lease.o announce.o orders.o parts.o partfeed.o evac.o
 # The users' platform; translates only.
 PLATFORM = platform/answered.o platform/asked.o platform/decode.o platform/duty.o \
 	platform/engine.o platform/ingress.o platform/json.o platform/kvstore.o platform/notice.o \
--- a/naming.c
+++ b/announce.c
@@ -1,5 +1,5 @@
 /* When weights were named: a VM's own knowledge and the lease's row. */
-#include "naming.h"
+#include "announce.h"
 
 #include <string.h>
 
--- a/naming.h
+++ b/announce.h
@@ -6,8 +6,8 @@
  * when.  A VM that starts, or could not hear for a while, learns from the row
  * since when older weights are outdated.  Everything here is pure.
  */
-#ifndef CQ_NAMING_H
-#define CQ_NAMING_H
+#ifndef CQ_ANNOUNCE_H
+#define CQ_ANNOUNCE_H
 
 #include "fleet.h"
 #include "lease.h"
--- a/orders.c
+++ b/orders.c
@@ -5,7 +5,7 @@
 
 #include "decide.h"
 #include "log.h"
-#include "naming.h"
+#include "announce.h"
 
 /* A lease is short, since a successor waits for its end before the pause
    between two holders; it is renewed early enough for a second try. */
