--- a/announce.c
+++ b/announce.c
@@ -1,17 +1,19 @@
-/* When weights were named: a VM's own knowledge and the lease's row. */
+/* When weight versions were announced: a VM's own knowledge and the lease's
+   row. */
 #include "announce.h"
 
 #include <string.h>
 
-/* A VM that hears of a naming so long after it may have been made asks the
-   row when it was. */
-#define DOUBT_US INT64_C (1500000)
-/* Some VM hears of a naming at once and writes the row within 0.4 s, or as its
-   holder with the next renewal, within 0.6 s. */
-#define RECORD_US INT64_C (1000000)
+/* A VM that learns of an announcement so long after it may have been made
+   reads its time from the row. */
+#define UNCERTAIN_AFTER_US INT64_C (1500000)
+/* Some VM learns of an announcement at once and writes the row within 0.4 s,
+   or, if it holds the lease, with the next renewal within 0.6 s. */
+#define ROW_WRITTEN_WITHIN_US INT64_C (1000000)
 
-/* One whose weights are only doubted needs to be asked, but nothing was named
-   that would outdate them. */
+/* Whether a newer announced version makes the endpoint's weights outdated.  An
+   endpoint whose weights are merely uncertain needs a state query, but no
+   announcement applies to it. */
 static bool
 is_outdated (const struct fleet *f, const struct fleet_endpoint *e)
 {
@@ -19,14 +21,15 @@
 }
 
 static bool
-is_doubtful (const struct fleet *f, const struct fleet_endpoint *e,
-             int64_t read_us)
+is_uncertain (const struct fleet *f, const struct fleet_endpoint *e,
+              int64_t read_us)
 {
   int64_t since = fleet_outdated_since (f, e);
   int64_t heard = fleet_heard_from (f, e->is.model, e->version + 1);
 
   return since == FLEET_NEVER
-         || (heard - since > DOUBT_US && read_us < heard + RECORD_US);
+         || (heard - since > UNCERTAIN_AFTER_US
+             && read_us < heard + ROW_WRITTEN_WITHIN_US);
 }
 
 bool
@@ -36,14 +39,14 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (is_outdated (f, e) && is_doubtful (f, e, read_us))
+    if (is_outdated (f, e) && is_uncertain (f, e, read_us))
       return true;
   }
   return false;
 }
 
-/* Also of versions that this VM cannot have heard: a row that knows of them
-   tells since when weights older than these are outdated. */
+/* Includes versions that this VM cannot have seen: a row that has them tells
+   since when weights older than these are outdated. */
 void
 announce_read_row (struct fleet *f, const struct lease_clock *clock,
                    const struct lease_row *row)
@@ -56,8 +59,8 @@
                        lease_to_local_us (clock, n->since_ms));
 }
 
-/* What was named when this VM heard of it was not named later, whatever the
-   row says. */
+/* An announcement that this VM has seen was not made later than that, whatever
+   the row says. */
 static void
 correct_row (const struct fleet *f, const struct lease_clock *clock,
              struct lease_row *row)
@@ -74,7 +77,8 @@
     }
 }
 
-/* Only what bears on an endpoint that is to change: the row holds few. */
+/* Adds only announcements that concern an endpoint whose weights must change,
+   because the row holds few. */
 void
 announce_write_row (const struct fleet *f, const struct lease_clock *clock,
                     struct lease_row *row)
--- a/lease.c
+++ b/lease.c
@@ -1,13 +1,14 @@
-/* A lease in the platform's store. */
+/* The lease in the platform's store: clock bounds, announcements, takeover. */
 #include "lease.h"
 
 #include <string.h>
 
 #define US_PER_MS INT64_C (1000)
-/* An order takes some ms from its last look at the clock to its endpoint. */
-#define ORDER_TRAVEL_MS 100
+/* Margin for the time from the last check of the clock until the order reaches
+   its endpoint, which is some ms. */
+#define ORDER_TRANSIT_MS 100
 
-/* Whole milliseconds, downwards also for what lies before a reading. */
+/* Whole milliseconds, rounded down for negative values, too. */
 static int64_t
 floor_ms (int64_t us)
 {
@@ -29,7 +30,7 @@
 int64_t
 lease_to_local_us (const struct lease_clock *c, int64_t store_ms)
 {
-  /* The reading is cut to whole milliseconds. */
+  /* The reading is truncated to whole milliseconds. */
   return c->sent_us + (store_ms - c->store_ms - 1) * US_PER_MS;
 }
 
@@ -58,9 +59,9 @@
   row->announcements[row->nannouncements++] = new;
 }
 
-/* "VM/LIFE": whether both are of one VM. */
+/* Whether two holders, "VM/INCARNATION", belong to the same VM. */
 static bool
-same_vm (const char *a, const char *b)
+is_same_vm (const char *a, const char *b)
 {
   size_t na = strcspn (a, "/");
   size_t nb = strcspn (b, "/");
@@ -72,7 +73,7 @@
 lease_is_free (const struct lease_row *row, const char *holder,
                const struct lease_clock *c, int64_t now_us)
 {
-  if (row == NULL || row->released || same_vm (row->holder, holder))
+  if (row == NULL || row->released || is_same_vm (row->holder, holder))
     return true;
   return lease_earliest_ms (c, now_us) >= row->expires_ms;
 }
@@ -83,7 +84,7 @@
 {
   if (row == NULL)
     return 0;
-  if (same_vm (row->holder, holder))
+  if (is_same_vm (row->holder, holder))
     return row->begin_ms;
   return row->order_until_ms == 0 ? 0 : row->order_until_ms + gap_ms;
 }
@@ -93,6 +94,6 @@
                  int64_t now_us)
 {
   return c->store_ms > 0 && lease_earliest_ms (c, now_us) >= row->begin_ms
-         && lease_latest_ms (c, now_us) + ORDER_TRAVEL_MS
+         && lease_latest_ms (c, now_us) + ORDER_TRANSIT_MS
                 < row->order_until_ms;
 }
--- a/lease.h
+++ b/lease.h
@@ -1,12 +1,13 @@
 /*
  * A lease in the platform's store: which VM may give orders.
  *
- * Endpoints may not check fences, so safety rests on time.  The row says
- * until when its holder may give orders; the holder stops before by the latest
- * time the store's clock may show, and a successor starts only when by the
- * earliest time it may show that and a pause after it are over.  A holder
- * moves that time only just before it orders, so that a successor seldom waits
- * for orders that never were.  Everything here is pure.
+ * Endpoints may not check fencing tokens, so safety depends on time.  The row
+ * says until when its holder may give orders.  The holder stops before that
+ * time by the latest estimate of the store's clock.  A successor starts only
+ * when, by the earliest estimate, that time and a gap after it have passed.  A
+ * holder extends the time only just before it gives an order, so that a
+ * successor seldom waits for orders that were never given.  All functions here
+ * are pure.
  */
 #ifndef CQ_LEASE_H
 #define CQ_LEASE_H
@@ -14,66 +15,70 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LEASE_HOLDER_SIZE 96       /* bytes of a holder with its NUL */
+#define LEASE_HOLDER_SIZE 96       /* bytes of a holder's name with its NUL */
 #define LEASE_MODEL_SIZE 64        /* bytes of a model's name with its NUL */
-#define LEASE_ANNOUNCEMENTS_MAX 16 /* namings of weights that a row holds */
+#define LEASE_ANNOUNCEMENTS_MAX 16 /* announcements that a row can hold */
 
-/* When weights were named, for VMs that did not hear it then: none of a model
-   from a version on before a moment. */
+/* When a weight version was announced, for VMs that did not see it then: no
+   version of the model from this one on was announced before since_ms. */
 struct lease_announcement
 {
-  char model[LEASE_MODEL_SIZE]; /* whose weights */
-  int64_t version;              /* the lowest of them */
-  int64_t since_ms;             /* the moment */
+  char model[LEASE_MODEL_SIZE]; /* model whose weights are announced */
+  int64_t version;              /* lowest version that this entry covers */
+  int64_t since_ms;             /* earliest time of the announcement */
 };
 
-/* The lease as its row says, in the store's milliseconds. */
+/* The lease as stored in its row; times are in the store's milliseconds. */
 struct lease_row
 {
-  char holder[LEASE_HOLDER_SIZE]; /* VM and life, "VM/LIFE" */
-  int64_t expires_ms;             /* others may take over then */
-  int64_t begin_ms;               /* its orders begin then */
-  int64_t order_until_ms; /* its orders end before, and those of holders before
-                             it; 0: none was given */
-  bool released;          /* it gives no more orders */
+  char holder[LEASE_HOLDER_SIZE]; /* VM and incarnation, "VM/INCARNATION" */
+  int64_t expires_ms;             /* another VM may take over from then on */
+  int64_t begin_ms;               /* the holder may give orders from then on */
+  int64_t order_until_ms; /* orders of this holder and of earlier ones are sent
+                             before then; 0: none was given */
+  bool released;          /* the holder gives no more orders */
   struct lease_announcement
-      announcements[LEASE_ANNOUNCEMENTS_MAX]; /* the newest, oldest first */
-  int nannouncements;                         /* entries in named */
+      announcements[LEASE_ANNOUNCEMENTS_MAX]; /* the newest announcements,
+                                                 oldest first */
+  int nannouncements;                         /* entries in announcements */
 };
 
 /* One reading of the store's clock. */
 struct lease_clock
 {
-  int64_t sent_us;  /* the call was sent */
-  int64_t got_us;   /* its answer came */
-  int64_t store_ms; /* what the store's clock showed in between; 0: never */
+  int64_t sent_us;  /* when the call was sent */
+  int64_t got_us;   /* when its answer arrived */
+  int64_t store_ms; /* the store's clock between the two; 0: never read */
 };
 
-/* Bounds on the store's clock at NOW_US. */
+/* Lower and upper bound of the store's clock at NOW_US. */
 int64_t lease_earliest_ms (const struct lease_clock *c, int64_t now_us);
 int64_t lease_latest_ms (const struct lease_clock *c, int64_t now_us);
 
-/* The moment on our clock before which the store's did not show STORE_MS. */
+/* The earliest time on the local clock at which the store's clock may have
+   shown STORE_MS. */
 int64_t lease_to_local_us (const struct lease_clock *c, int64_t store_ms);
 
-/* Put a naming into the row as its newest, in place of the oldest if it is
-   full; what the row knows of it already can only become later. */
+/* Adds an announcement to the row as its newest and drops the oldest one if
+   the row is full.  If the row already has the version, the later of both
+   times is kept. */
 void lease_add_announcement (struct lease_row *row,
                              const struct lease_announcement *n);
 
-/* Whether HOLDER may try to take the lease over; ROW is NULL if there is
-   none. */
+/* Whether HOLDER may try to acquire the lease; ROW is NULL if there is no
+   row. */
 bool lease_is_free (const struct lease_row *row, const char *holder,
                     const struct lease_clock *c, int64_t now_us);
 
 /* When orders may begin after taking over from ROW, in the store's
-   milliseconds: GAP_MS after the last one that a holder before may have
-   given.  A life of the same VM before this one is the same holder, and goes
-   on when that would have begun. */
+   milliseconds: GAP_MS after the last order that an earlier holder may have
+   given.  An earlier incarnation of the same VM counts as the same holder: the
+   new one begins when the earlier one would have begun. */
 int64_t lease_begin_ms (const struct lease_row *row, const char *holder,
                         int64_t gap_ms);
 
-/* Whether an order may leave now, under a row as it was acknowledged. */
+/* Whether an order may be sent now, under a row whose write is acknowledged.
+ */
 bool lease_may_order (const struct lease_row *row, const struct lease_clock *c,
                       int64_t now_us);
 
--- a/memb.c
+++ b/memb.c
@@ -1,22 +1,24 @@
-/* Members: words heard, neighbours watched, rumors passed on. */
+/* Members: received updates, members to ping, updates to send on. */
 #include "memb.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define MISSES_SUSPECT 3                    /* unanswered questions */
-#define SUSPECT_US (INT64_C (2) * 1000000)  /* to refute it */
-#define FORGET_US (INT64_C (600) * 1000000) /* the dead are remembered */
-#define SPREAD 6                            /* times a word is passed on */
-#define REFRESH 2                           /* old words in each message */
+#define SUSPECT_AFTER_MISSES 3 /* consecutive unanswered pings */
+#define SUSPECT_TIMEOUT_US                                                    \
+  (INT64_C (2) * 1000000) /* time to refute a suspicion */
+#define DEAD_FORGET_US                                                        \
+  (INT64_C (600) * 1000000)    /* dead members are remembered */
+#define RUMOR_TRANSMITS 6      /* how often an update is sent on */
+#define REPEATED_PER_MESSAGE 2 /* older updates repeated in each message */
 
 struct memb_table
 {
-  struct memb_update self;             /* this VM */
-  GHashTable *by_name;                 /* name to memb, without this VM */
-  APR_RING_HEAD (memb_ring, memb) all; /* the same */
-  int self_spread;                     /* times the own word is passed on */
-  unsigned cursor;                     /* next old word to repeat */
+  struct memb_update self; /* this VM's own update */
+  GHashTable *by_name;     /* name to struct memb, without this VM */
+  APR_RING_HEAD (memb_ring, memb) all; /* the members of by_name */
+  int self_transmits_left; /* how often the own update is still sent on */
+  unsigned next_repeat;    /* position of the next older update to repeat */
 };
 
 struct memb_table *
@@ -47,10 +49,11 @@
 memb_set_address (struct memb_table *t, const char *address)
 {
   g_strlcpy (t->self.address, address, sizeof t->self.address);
-  /* Who asked before the address was known has heard a word without it; with
-     the same beat this one would be no news, and the VM be given up there. */
+  /* A VM that pinged this one before its address was known has received an
+     update without it.  With an unchanged sequence number the new update would
+     be ignored there, and that VM would declare this one dead. */
   t->self.seq++;
-  t->self_spread = SPREAD;
+  t->self_transmits_left = RUMOR_TRANSMITS;
 }
 
 struct memb *
@@ -74,7 +77,7 @@
   return m == APR_RING_SENTINEL (&t->all, memb, link) ? NULL : m;
 }
 
-/* Other VMs whose state is no worse than WORST. */
+/* Number of other VMs whose state is no worse than WORST. */
 int
 memb_count (const struct memb_table *t, enum memb_state worst)
 {
@@ -93,13 +96,13 @@
   t->self.state = state;
   t->self.revision = revision;
   t->self.seq++;
-  t->self_spread = SPREAD;
+  t->self_transmits_left = RUMOR_TRANSMITS;
 }
 
-/* --- words --- */
+/* --- updates --- */
 
 static bool
-newer (const struct memb_update *a, const struct memb_update *b)
+is_newer (const struct memb_update *a, const struct memb_update *b)
 {
   if (a->incarnation != b->incarnation)
     return a->incarnation > b->incarnation;
@@ -109,18 +112,18 @@
 }
 
 /*
- * Others say that this VM is suspect or dead.  It is not: a later beat says
- * so.  Without this a VM whose packets are lost one way would be given up by
- * all while it serves.
+ * Refutes updates of others by which this VM is suspect or dead, with a higher
+ * sequence number.  Without this, a VM whose packets are lost in one direction
+ * would be declared dead by all others while it serves.
  */
 static bool
-hear_of_self (struct memb_table *t, const struct memb_update *w)
+refute_update (struct memb_table *t, const struct memb_update *w)
 {
   if (w->incarnation != t->self.incarnation || w->seq < t->self.seq
       || w->state == t->self.state)
     return false;
   t->self.seq = w->seq + 1;
-  t->self_spread = SPREAD;
+  t->self_transmits_left = RUMOR_TRANSMITS;
   return true;
 }
 
@@ -136,19 +139,19 @@
 }
 
 static void
-note_state (struct memb *m, enum memb_state before, int64_t now_us)
+on_state_change (struct memb *m, enum memb_state before, int64_t now_us)
 {
-  m->transmits_left = SPREAD;
+  m->transmits_left = RUMOR_TRANSMITS;
   if (m->latest.state == MEMB_SUSPECT && before != MEMB_SUSPECT)
     m->suspect_us = now_us;
   if (m->latest.state == MEMB_ALIVE)
     m->missed_pings = 0;
 }
 
-/* Leaving is sticky: a later beat of the same life may say dead, but not that
-   it serves again. */
+/* Leaving is permanent for an incarnation: a later update may say dead, but
+   not that the VM serves again. */
 static enum memb_state
-sticky (const struct memb *m, const struct memb_update *w)
+sticky_state (const struct memb *m, const struct memb_update *w)
 {
   if (m->latest.incarnation == w->incarnation
       && m->latest.state == MEMB_LEAVING && w->state < MEMB_LEAVING)
@@ -156,9 +159,10 @@
   return w->state;
 }
 
-/* Any source may say that a life is leaving, however late it knows. */
+/* Whether the update newly says that the incarnation is leaving.  This counts
+   from any source, whatever its sequence number. */
 static bool
-leaves (const struct memb *m, const struct memb_update *w)
+is_newly_leaving (const struct memb *m, const struct memb_update *w)
 {
   return w->state == MEMB_LEAVING && w->incarnation == m->latest.incarnation
          && m->latest.state < MEMB_LEAVING;
@@ -173,31 +177,31 @@
   struct memb *m;
 
   if (strcmp (w->name, t->self.name) == 0)
-    return hear_of_self (t, w);
+    return refute_update (t, w);
   m = memb_find (t, w->name);
   if (m == NULL)
     {
-      /* The dead of whom we never knew are no news. */
+      /* The death of an unknown VM is no news. */
       if (w->state == MEMB_DEAD)
         return false;
       m = add (t, w);
-      note_state (m, MEMB_ALIVE, now_us);
+      on_state_change (m, MEMB_ALIVE, now_us);
       return true;
     }
-  if (!newer (w, &m->latest) && !leaves (m, w))
+  if (!is_newer (w, &m->latest) && !is_newly_leaving (m, w))
     return false;
   before = m->latest.state;
-  state = sticky (m, w);
+  state = sticky_state (m, w);
   if (w->incarnation != m->latest.incarnation)
     m->missed_pings = 0;
-  if (newer (w, &m->latest))
+  if (is_newer (w, &m->latest))
     m->latest = *w;
   m->latest.state = state;
-  note_state (m, before, now_us);
+  on_state_change (m, before, now_us);
   return true;
 }
 
-/* --- questions --- */
+/* --- pings --- */
 
 void
 memb_ping_sent (struct memb *m, int64_t now_us)
@@ -217,10 +221,11 @@
 memb_ping_timed_out (struct memb_table *t, struct memb *m, int64_t now_us)
 {
   (void)t;
-  if (++m->missed_pings < MISSES_SUSPECT || m->latest.state != MEMB_ALIVE)
+  if (++m->missed_pings < SUSPECT_AFTER_MISSES
+      || m->latest.state != MEMB_ALIVE)
     return;
   m->latest.state = MEMB_SUSPECT;
-  note_state (m, MEMB_ALIVE, now_us);
+  on_state_change (m, MEMB_ALIVE, now_us);
 }
 
 void
@@ -232,14 +237,14 @@
     {
       next = memb_next (t, m);
       if (m->latest.state == MEMB_SUSPECT
-          && now_us - m->suspect_us > SUSPECT_US)
+          && now_us - m->suspect_us > SUSPECT_TIMEOUT_US)
         {
           m->latest.state = MEMB_DEAD;
           m->suspect_us = now_us;
-          m->transmits_left = SPREAD;
+          m->transmits_left = RUMOR_TRANSMITS;
         }
       else if (m->latest.state == MEMB_DEAD
-               && now_us - m->suspect_us > FORGET_US)
+               && now_us - m->suspect_us > DEAD_FORGET_US)
         {
           APR_RING_REMOVE (m, link);
           g_hash_table_remove (t->by_name, m->latest.name);
@@ -247,10 +252,10 @@
     }
 }
 
-/* --- rendezvous --- */
+/* --- rendezvous hashing --- */
 
 static uint64_t
-weigh (const char *a, const char *b)
+rendezvous_weight (const char *a, const char *b)
 {
   uint64_t h = UINT64_C (14695981039346656037);
 
@@ -264,20 +269,22 @@
 }
 
 static bool
-local (const struct memb_table *t, const struct memb *m)
+is_in_own_domain (const struct memb_table *t, const struct memb *m)
 {
   return strcmp (m->latest.domain, t->self.domain) == 0;
 }
 
-/* Insert by falling weight; the list holds at most MAX. */
+/* Inserts M by descending weight; the list holds at most MAX. */
 static int
 keep_heaviest (const struct memb_table *t, struct memb **out, int n, int max,
                struct memb *m)
 {
-  uint64_t w = weigh (t->self.name, m->latest.name);
+  uint64_t w = rendezvous_weight (t->self.name, m->latest.name);
   int i;
 
-  for (i = n; i > 0 && weigh (t->self.name, out[i - 1]->latest.name) < w; i--)
+  for (i = n;
+       i > 0 && rendezvous_weight (t->self.name, out[i - 1]->latest.name) < w;
+       i--)
     if (i < max)
       out[i] = out[i - 1];
   if (i < max)
@@ -285,18 +292,18 @@
   return n < max ? n + 1 : max;
 }
 
-/* Whether M is the one to watch of its domain. */
+/* Whether M is the member of its domain that this VM pings. */
 static bool
 heaviest_of_domain (struct memb_table *t, const struct memb *m)
 {
-  uint64_t w = weigh (t->self.name, m->latest.name);
+  uint64_t w = rendezvous_weight (t->self.name, m->latest.name);
   const struct memb *o;
 
   APR_RING_FOREACH (o, &t->all, memb, link)
   {
     if (strcmp (o->latest.domain, m->latest.domain) == 0
         && o->latest.state <= MEMB_SUSPECT
-        && weigh (t->self.name, o->latest.name) > w)
+        && rendezvous_weight (t->self.name, o->latest.name) > w)
       return false;
   }
   return true;
@@ -305,18 +312,18 @@
 int
 memb_neighbours (struct memb_table *t, struct memb **out, int max)
 {
-  int room = max > 3 ? 3 : max;
+  int own_max = max > 3 ? 3 : max;
   struct memb *m;
   int n = 0;
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (local (t, m) && m->latest.state <= MEMB_SUSPECT)
-      n = keep_heaviest (t, out, n, room, m);
+    if (is_in_own_domain (t, m) && m->latest.state <= MEMB_SUSPECT)
+      n = keep_heaviest (t, out, n, own_max, m);
   }
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (!local (t, m) && n < max && m->latest.state <= MEMB_SUSPECT
+    if (!is_in_own_domain (t, m) && n < max && m->latest.state <= MEMB_SUSPECT
         && heaviest_of_domain (t, m))
       out[n++] = m;
   }
@@ -324,23 +331,24 @@
 }
 
 /*
- * A VM that comes later has missed all earlier news.  So every message repeats
- * a few old words in turn; without them a newcomer never hears of VMs that
- * neither watch it nor are watched by it.
+ * A VM that joins later has missed all earlier updates, so every message
+ * repeats a few of them in turn.  Without this, it would never learn of VMs
+ * that neither ping it nor are pinged by it.
  */
 static int
-repeat_old (struct memb_table *t, struct memb_update *out, int n, int max)
+append_older_updates (struct memb_table *t, struct memb_update *out, int n,
+                      int max)
 {
   unsigned all = g_hash_table_size (t->by_name);
   struct memb *m;
   unsigned i = 0;
   unsigned from;
-  int left = REFRESH;
+  int left = REPEATED_PER_MESSAGE;
 
   if (all == 0)
     return n;
-  from = t->cursor % all;
-  t->cursor = from + REFRESH;
+  from = t->next_repeat % all;
+  t->next_repeat = from + REPEATED_PER_MESSAGE;
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
     if (i++ < from || left == 0 || n == max)
@@ -365,20 +373,20 @@
     m->transmits_left--;
     out[n++] = m->latest;
   }
-  return repeat_old (t, out, n, max);
+  return append_older_updates (t, out, n, max);
 }
 
 bool
 memb_is_responsible (struct memb_table *t, const char *key, int n)
 {
-  uint64_t own = weigh (key, t->self.name);
+  uint64_t own = rendezvous_weight (key, t->self.name);
   const struct memb *m;
   int before = 0;
 
   APR_RING_FOREACH (m, &t->all, memb, link)
   {
-    if (local (t, m) && m->latest.state <= MEMB_SUSPECT
-        && weigh (key, m->latest.name) > own)
+    if (is_in_own_domain (t, m) && m->latest.state <= MEMB_SUSPECT
+        && rendezvous_weight (key, m->latest.name) > own)
       before++;
   }
   return before < n;
@@ -396,8 +404,8 @@
   return names[state];
 }
 
-/* One of the dead, in turn, to be asked whether it is back: a partition
-   heals without a word from outside. */
+/* Returns the dead members in turn, one per call, to be pinged: this detects
+   that a network partition has healed, for which there is no other signal. */
 struct memb *
 memb_pick_dead (struct memb_table *t, unsigned turn)
 {
--- a/memb.h
+++ b/memb.h
@@ -1,11 +1,11 @@
 /*
- * Public header of membership: which VMs there are, as far as this one can
- * tell.  Pure, like decide.h.
+ * Public header of membership: which VMs exist, as far as this one knows.
+ * Pure, like decide.h.
  *
- * A VM is known by name and incarnation, not by its address: addresses come
- * back under other VMs.  What is said of a VM is ordered by incarnation, then
- * by beat; of equal age the worse word wins, so that leaving and death are not
- * talked away by an older echo.
+ * A VM is identified by name and incarnation, not by its address, because
+ * addresses are reused by other VMs.  Updates about a VM are ordered by
+ * incarnation, then by sequence number.  If both are equal, the worse state
+ * wins, so that an older repeated update cannot undo leaving or death.
  */
 #ifndef CQ_MEMB_H
 #define CQ_MEMB_H
@@ -21,33 +21,33 @@
 enum memb_state
 {
   MEMB_ALIVE,
-  MEMB_SUSPECT, /* a neighbour gets no answer from it */
-  MEMB_LEAVING, /* it said it is stopping: sticky for its incarnation */
+  MEMB_SUSPECT, /* a VM that pings it gets no answer */
+  MEMB_LEAVING, /* it announced that it stops; permanent for its incarnation */
   MEMB_DEAD
 };
 
-/* What is said of a VM. */
+/* An update about a VM, as gossip carries it. */
 struct memb_update
 {
-  char name[MEMB_NAME_SIZE];    /* its name */
+  char name[MEMB_NAME_SIZE];    /* name of the VM */
   char domain[MEMB_NAME_SIZE];  /* its failure domain */
-  char address[MEMB_NAME_SIZE]; /* where it hears peers */
-  uint64_t incarnation;         /* which life */
-  uint32_t seq;                 /* grows with each word of its own */
-  enum memb_state state;        /* how it is */
-  uint64_t revision;            /* of the settings in force there */
+  char address[MEMB_NAME_SIZE]; /* where it receives messages of peers */
+  uint64_t incarnation;         /* distinguishes runs of the process */
+  uint32_t seq; /* sequence number; grows with each update of the VM itself */
+  enum memb_state state; /* state of the VM */
+  uint64_t revision;     /* revision of the settings in force there */
 };
 
 /* A VM as this one knows it. */
 struct memb
 {
-  APR_RING_ENTRY (memb) link; /* among all */
-  struct memb_update latest;  /* newest word */
-  int64_t answered_us;        /* when it last answered us, 0 for never */
-  int64_t pinged_us;          /* when we last asked it */
-  int missed_pings;           /* questions without an answer, in a row */
-  int64_t suspect_us;         /* since when it is suspect */
-  int transmits_left;         /* times the newest word is still passed on */
+  APR_RING_ENTRY (memb) link; /* in the list of all members */
+  struct memb_update latest;  /* newest update */
+  int64_t answered_us;        /* when it last answered a ping; 0: never */
+  int64_t pinged_us;          /* when it was last pinged */
+  int missed_pings;           /* consecutive pings without an answer */
+  int64_t suspect_us;         /* since when it is suspect or dead */
+  int transmits_left; /* how often the newest update is still sent on */
 };
 
 struct memb_table;
@@ -61,34 +61,34 @@
 struct memb *memb_first (struct memb_table *t);
 struct memb *memb_next (struct memb_table *t, struct memb *m);
 
-/* Change what this VM says of itself. */
+/* Changes the state and settings revision that this VM announces of itself. */
 void memb_set_state (struct memb_table *t, enum memb_state state,
                      uint64_t revision);
 
-/* Hear a word about a VM; true if it was news. */
-bool memb_apply_update (struct memb_table *t, const struct memb_update *word,
+/* Applies an update about a VM; returns true if it was news. */
+bool memb_apply_update (struct memb_table *t, const struct memb_update *update,
                         int64_t now_us);
 
-/* A question was sent, answered, or not answered in time. */
+/* Record that a ping was sent, answered, or not answered in time. */
 void memb_ping_sent (struct memb *m, int64_t now_us);
 void memb_ping_answered (struct memb_table *t, struct memb *m, int64_t now_us);
 void memb_ping_timed_out (struct memb_table *t, struct memb *m,
                           int64_t now_us);
 
-/* Suspects that did not refute it in time are dead; the dead are forgotten
-   after a while. */
+/* Declares suspects dead that did not refute the suspicion in time, and
+   forgets dead members after a while. */
 void memb_tick (struct memb_table *t, int64_t now_us);
 
-/* Whom to watch: up to MAX neighbours by rendezvous in the own domain, and one
-   in each other domain. */
+/* Chooses the members to ping: up to MAX, by rendezvous hashing in this VM's
+   domain, and one in each other domain. */
 int memb_neighbours (struct memb_table *t, struct memb **out, int max);
 
 struct memb *memb_pick_dead (struct memb_table *t, unsigned turn);
 
-/* Newest words to pass on. */
+/* Fills OUT with updates to send on and returns their number. */
 int memb_rumors (struct memb_table *t, struct memb_update *out, int max);
 
-/* Whether this VM is among the N of its domain that do the job KEY. */
+/* Whether this VM is one of the N of its domain that do the job KEY. */
 bool memb_is_responsible (struct memb_table *t, const char *key, int n);
 
 const char *memb_state_name (enum memb_state state);
--- a/orders.c
+++ b/orders.c
@@ -1,4 +1,4 @@
-/* Orders to endpoints, under a lease. */
+/* Orders to endpoints to load weights, given under a lease. */
 #include "orders.h"
 
 #include <string.h>
@@ -7,98 +7,105 @@
 #include "log.h"
 #include "announce.h"
 
-/* A lease is short, since a successor waits for its end before the pause
-   between two holders; it is renewed early enough for a second try. */
+/* The lease is short because a successor waits until it ends, and then for the
+   gap between two holders.  It is renewed early enough for a second attempt.
+ */
 #define LEASE_MS 1600
 #define RENEW_LEFT_MS 1000
-/* Orders may be given for so long after they were announced in the row, and
-   twice the store's last answer took: an endpoint is asked for its state, and
-   ordered, in some 20 ms.  A successor waits from the end of it, not from the
-   end of the lease. */
+/* Each write of the row lets orders leave for this long, plus twice the time
+   that the store's last answer took.  Querying an endpoint's state and sending
+   it an order take about 20 ms.  A successor waits from the end of this
+   window, not from the end of the lease. */
 #define ORDER_WINDOW_MS 400
 /*
- * After this nobody gives orders by a row of before now: they leave within
- * their window and twice the second that a call about the row may take, and a
- * holder whose row was overwritten loses the lease within LEASE_MS.
+ * After this no order is sent under a row that was written earlier: orders
+ * leave within their window and twice the second that a call about the row may
+ * take, and a holder whose row was overwritten loses the lease within
+ * LEASE_MS.
  */
-#define UNREADABLE_END_MS (ORDER_WINDOW_MS + 2000)
-/* Between looks while there is something to do. */
-#define LOOK_US (100 * CQ_US_PER_MS)
-/* The first VM to reach for the lease is drawn by a pause of up to this; the
-   others then see its row, or its work. */
-#define DRAW_MAX_US (400 * CQ_US_PER_MS)
-/* Others look at the lease only when no endpoint has changed for this long:
-   a load takes 1.3 s and more, after requests that run have ended. */
-#define PATIENCE_US (1800 * CQ_US_PER_MS)
-/* Between questions to an endpoint that carries out an order. */
-#define ASK_US (250 * CQ_US_PER_MS)
-/* An order whose effect does not show is read back, not sent again blindly;
-   after this long it may be sent again under the same number. */
-#define ORDER_MAX_US (2500 * CQ_US_PER_MS)
-/* The same after one without an answer, doubled up to that with each further
-   one.  An endpoint's word is some hundred ms old; with the time in which the
-   answer was waited for, it would show the order by now. */
-#define UNANSWERED_US (300 * CQ_US_PER_MS)
-/* An endpoint that does not answer is passed over for this long. */
-#define SKIP_US (800 * CQ_US_PER_MS)
-/* An endpoint's word about itself is some hundred ms old. */
-#define STATE_OLD_US (1000 * CQ_US_PER_MS)
-/* Endpoints looked at: a fifth of a service, and those with lost orders. */
+#define UNREADABLE_ROW_WAIT_MS (ORDER_WINDOW_MS + 2000)
+/* Interval of checks while endpoints need orders. */
+#define CHECK_INTERVAL_US (100 * CQ_US_PER_MS)
+/* Each VM waits a random delay of up to this before it tries to acquire the
+   lease.  The VM with the shortest delay gets it, and the others then see its
+   row or the changed endpoints. */
+#define JITTER_MAX_US (400 * CQ_US_PER_MS)
+/* Other VMs read the lease only if no endpoint has changed for this long.  A
+   load takes 1.3 s or more, and starts only after running requests ended. */
+#define NO_PROGRESS_US (1800 * CQ_US_PER_MS)
+/* Interval of state queries to an endpoint that carries out an order. */
+#define STATE_POLL_US (250 * CQ_US_PER_MS)
+/* If an order shows no effect, the endpoint's state is queried first.  After
+   this long the order may be sent again under the same number. */
+#define RESEND_MAX_US (2500 * CQ_US_PER_MS)
+/* The same for an order without an answer; doubled with each further one, up
+   to RESEND_MAX_US. The state that an endpoint reports is some hundred ms old.
+   Together with the time spent waiting for the answer, this is long enough for
+   the state to show the order. */
+#define RESEND_UNANSWERED_US (300 * CQ_US_PER_MS)
+/* An endpoint that does not answer is skipped for this long. */
+#define UNREACHABLE_RETRY_US (800 * CQ_US_PER_MS)
+/* The state that an endpoint reports is some hundred ms old. */
+#define STATE_MAX_AGE_US (1000 * CQ_US_PER_MS)
+/* Endpoints handled at once: a fifth of a service, and those whose orders were
+   lost. */
 #define MAX_TASKS 256
-/* Between questions to the row by a VM in doubt since when weights are
-   outdated, drawn: all may have started at one moment. */
-#define DOUBT_ASK_US (400 * CQ_US_PER_MS)
+/* Mean interval at which a VM reads the row while it is uncertain since when
+   weights are outdated.  Randomized, because all VMs may have started at the
+   same moment. */
+#define UNCERTAIN_READ_US (400 * CQ_US_PER_MS)
 enum task_phase
 {
-  TASK_IDLE,    /* nothing is known yet */
-  TASK_ASKING,  /* its state is asked for */
-  TASK_SENDING, /* an order is under way */
-  TASK_LOADING, /* it accepted an order */
-  TASK_DONE,    /* its order was carried out */
-  TASK_SKIPPED  /* it did not answer */
+  TASK_IDLE,     /* its state was not queried yet */
+  TASK_QUERYING, /* its state is queried */
+  TASK_SENDING,  /* an order is being sent */
+  TASK_LOADING,  /* an order was sent; the load is awaited */
+  TASK_DONE,     /* its order was carried out */
+  TASK_SKIPPED   /* it did not answer or rejected the order */
 };
 
 /* One endpoint's change of weights. */
 struct task
 {
-  APR_RING_ENTRY (task) link;      /* in the list */
-  struct orders *orders;           /* whose */
-  struct fleet_endpoint *endpoint; /* a reference */
-  enum task_phase phase;           /* where it stands */
-  bool busy;                       /* a call is under way */
-  int64_t since_us;                /* in this phase */
-  int64_t asked_us;                /* when its state was asked for */
-  bool unanswered;                 /* its order was, and shows no effect */
-  int64_t again_us;                /* after which it is sent again */
-  struct load_order order;         /* as sent */
+  APR_RING_ENTRY (task) link;      /* in orders::tasks */
+  struct orders *orders;           /* the owner */
+  struct fleet_endpoint *endpoint; /* a counted reference */
+  enum task_phase phase;           /* current phase */
+  bool calling;            /* a call to the endpoint has no reply yet */
+  int64_t since_us;        /* start of this phase */
+  int64_t queried_us;      /* when its state was last queried */
+  bool unanswered;         /* its order got no answer and shows no effect */
+  int64_t resend_after_us; /* time in TASK_LOADING after which the order is
+                              sent again */
+  struct load_order order; /* the order as it was last sent */
 };
 
 struct orders
 {
-  struct orders_opts opts;               /* as made */
-  char holder[LEASE_HOLDER_SIZE];        /* this life of this VM */
-  struct loop_timer timer;               /* next look */
-  GRand *rand;                           /* for pauses */
-  bool stopped;                          /* gives no more orders */
-  bool held;                             /* the lease is this life's */
-  bool calling;                          /* a call about the lease is on */
-  struct lease_row row;                  /* as acknowledged last */
-  struct lease_row asked;                /* as the call under way writes it */
-  int64_t row_version;                   /* of the row */
-  int64_t fence;                         /* row version when it was taken */
-  struct lease_clock clock;              /* last reading */
-  int64_t called_us;                     /* when the call was sent */
-  int64_t patient_us;                    /* reach for the lease at */
-  int64_t read_us;                       /* the row as of then was read */
-  int64_t doubt_us;                      /* read it because of doubt then */
-  guint old;                             /* endpoints with old weights */
-  APR_RING_HEAD (task_ring, task) tasks; /* endpoints in hand */
-  int ntasks;                            /* their number */
+  struct orders_opts opts;        /* options as given to orders_new */
+  char holder[LEASE_HOLDER_SIZE]; /* "VM/INCARNATION" of this process */
+  struct loop_timer timer;        /* next check */
+  GRand *rand;                    /* source of random delays */
+  bool stopped;                   /* orders_stop was called */
+  bool held;                      /* this incarnation holds the lease */
+  bool calling;                   /* a call about the row has no reply yet */
+  struct lease_row row;           /* row as last read or acknowledged */
+  struct lease_row pending_row;   /* row as the pending call writes it */
+  int64_t row_version;            /* version of the row */
+  int64_t fence; /* fencing token: row version when the lease was acquired */
+  struct lease_clock clock;  /* last reading of the store's clock */
+  int64_t call_sent_us;      /* when the pending call about the row was sent */
+  int64_t acquire_at_us;     /* earliest time of the next attempt to acquire */
+  int64_t row_read_us;       /* when the read that last succeeded was sent */
+  int64_t uncertain_read_us; /* earliest next read because of uncertainty */
+  guint noutdated; /* endpoints with outdated weights at the last check */
+  APR_RING_HEAD (task_ring, task) tasks; /* endpoints that are handled */
+  int ntasks;                            /* entries in tasks */
 };
 
-static void look (struct orders *o, int64_t now_us);
+static void check (struct orders *o, int64_t now_us);
 
-/* --- endpoints with old weights -------------------------------------- */
+/* --- endpoints with outdated weights --------------------------------- */
 
 static int64_t
 wanted_version (const struct orders *o, const struct fleet_endpoint *e)
@@ -118,7 +125,7 @@
 }
 
 static guint
-count_old (const struct orders *o)
+count_outdated (const struct orders *o)
 {
   const struct fleet_endpoint *e;
   guint n = 0;
@@ -142,13 +149,13 @@
 {
   if (r->store_ms <= 0)
     return;
-  o->clock.sent_us = o->called_us;
+  o->clock.sent_us = o->call_sent_us;
   o->clock.got_us = now_us;
   o->clock.store_ms = r->store_ms;
 }
 
 static void
-lose (struct orders *o, const char *reason)
+lease_lost (struct orders *o, const char *reason)
 {
   if (o->held)
     log_event (LOG_LEVEL_WARNING, "lease",
@@ -157,9 +164,9 @@
   o->held = false;
 }
 
-/* The row is this life's now. */
+/* The row belongs to this incarnation now. */
 static void
-take (struct orders *o, const struct lease_reply *r)
+lease_taken (struct orders *o, const struct lease_reply *r)
 {
   if (!o->held)
     {
@@ -186,72 +193,74 @@
   switch (r->code)
     {
     case LEASE_OK:
-      o->row = o->asked;
+      o->row = o->pending_row;
       if (!o->row.released)
-        take (o, r);
+        lease_taken (o, r);
       break;
     case LEASE_CONFLICT:
-      lose (o, "taken_by_another");
+      lease_lost (o, "taken_by_another");
       break;
     case LEASE_REFUSED:
     case LEASE_UNKNOWN:
-      /* Until a read tells, what may have been written counts for nothing. */
-      lose (o, r->code == LEASE_REFUSED ? "refused" : "no_answer");
+      /* Until a read shows the row, a write that may have been done does not
+         count. */
+      lease_lost (o, r->code == LEASE_REFUSED ? "refused" : "no_answer");
       break;
     }
   if (!o->stopped)
-    look (o, now);
+    check (o, now);
 }
 
-enum lease_aim
+enum lease_action
 {
-  LEASE_KEEP,    /* take it, or renew it */
-  LEASE_ORDER,   /* likewise, and give orders soon */
-  LEASE_RELEASE, /* let it go */
+  LEASE_RENEW,         /* acquire or renew the lease */
+  LEASE_EXTEND_ORDERS, /* likewise, and extend the window for orders */
+  LEASE_RELEASE,       /* release the lease */
 };
 
-/* Only what is acknowledged counts for this VM; what may have been written
-   counts for others. */
+/* This VM relies only on writes that were acknowledged, while other VMs must
+   assume that any write may have been done. */
 static void
-write_lease (struct orders *o, int64_t expected, enum lease_aim aim,
+write_lease (struct orders *o, int64_t expected, enum lease_action action,
              int64_t now_us)
 {
-  struct lease_row *w = &o->asked;
+  struct lease_row *w = &o->pending_row;
   int64_t now_ms = lease_earliest_ms (&o->clock, now_us);
 
   *w = o->row;
   g_strlcpy (w->holder, o->holder, sizeof w->holder);
-  w->released = aim == LEASE_RELEASE;
+  w->released = action == LEASE_RELEASE;
   w->expires_ms = w->released ? now_ms : now_ms + LEASE_MS;
-  /* A slow store's answer must not come when the time is over. */
-  /* Nor may a time that was announced be taken back: until this is
-     acknowledged, orders leave by what was. */
-  if (aim == LEASE_ORDER)
+  /* With a slow store, the window must not be over when the answer comes. */
+  /* A window that was written must not be shortened: until this write is
+     acknowledged, orders leave under the earlier one. */
+  if (action == LEASE_EXTEND_ORDERS)
     w->order_until_ms
         = MAX (w->order_until_ms,
                now_ms + ORDER_WINDOW_MS
                    + 2 * (o->clock.got_us - o->clock.sent_us) / CQ_US_PER_MS);
-  /* None leaves any more, so nobody need wait for the rest of the window. */
-  if (aim == LEASE_RELEASE)
+  /* No further order leaves, so a successor need not wait for the rest of the
+     window. */
+  if (action == LEASE_RELEASE)
     w->order_until_ms
         = MIN (w->order_until_ms, lease_latest_ms (&o->clock, now_us));
   announce_write_row (o->opts.fleet, &o->clock, w);
   o->calling = true;
-  o->called_us = now_us;
+  o->call_sent_us = now_us;
   o->opts.ops.write_lease (o->opts.ops.ctx, w, expected, on_written, o);
 }
 
-/* The row belongs to this life, though it did not hear so. */
+/* The row belongs to this incarnation, although the write got no answer. */
 static bool
-is_ours (const struct orders *o, const struct lease_reply *r)
+is_own_row (const struct orders *o, const struct lease_reply *r)
 {
   return r->exists && !r->row.released
          && strcmp (r->row.holder, o->holder) == 0;
 }
 
-/* What others' row leaves to its successor. */
+/* Starts from the row of an earlier holder. */
 static void
-inherit (struct orders *o, const struct lease_row *row)
+take_over_row (struct orders *o, const struct lease_row *row)
 {
   int64_t begin
       = lease_begin_ms (row, o->holder, o->opts.holder_gap_us / CQ_US_PER_MS);
@@ -263,28 +272,29 @@
   o->row.begin_ms = begin;
 }
 
-/* The holder is to be left alone until its lease ends. */
+/* How long to wait for the current holder before the next attempt. */
 static int64_t
-wait_for (struct orders *o, const struct lease_row *row, int64_t now_us)
+holder_wait_us (struct orders *o, const struct lease_row *row, int64_t now_us)
 {
   int64_t left_ms = row->expires_ms - lease_earliest_ms (&o->clock, now_us);
 
-  return MIN (left_ms * CQ_US_PER_MS, PATIENCE_US)
-         + g_rand_int_range (o->rand, 0, (gint32)DRAW_MAX_US);
+  return MIN (left_ms * CQ_US_PER_MS, NO_PROGRESS_US)
+         + g_rand_int_range (o->rand, 0, (gint32)JITTER_MAX_US);
 }
 
 /*
- * A row that is there but cannot be read.  It is nobody's, or it would stand
- * in the way for good: a write must name its version, and no holder renews it.
- * Whoever wrote it, or a row before it, may still give orders that are not
- * known here; without the store's time nothing bounds those.
+ * The row exists but cannot be parsed.  It is treated as released.  Otherwise
+ * nobody could ever acquire the lease: a write must give the row's version,
+ * and no holder renews this row.  Whoever wrote it, or an earlier row, may
+ * still give orders that are not known here; without the store's time there is
+ * no bound on when those end.
  */
 static void
-take_unreadable (struct lease_reply *r)
+treat_as_released (struct lease_reply *r)
 {
   memset (&r->row, 0, sizeof r->row);
   r->row.released = true;
-  r->row.order_until_ms = r->store_ms + UNREADABLE_END_MS;
+  r->row.order_until_ms = r->store_ms + UNREADABLE_ROW_WAIT_MS;
   if (r->store_ms <= 0 && r->code == LEASE_OK)
     r->code = LEASE_UNKNOWN;
 }
@@ -297,56 +307,57 @@
   struct lease_reply read = *reply;
   struct lease_reply *r = &read;
   const struct lease_row *row = r->exists ? &r->row : NULL;
-  bool drawn = now >= o->patient_us;
+  bool may_acquire = now >= o->acquire_at_us;
 
   o->calling = false;
   if (o->stopped)
     return;
   if (r->exists && r->unreadable)
-    take_unreadable (r);
+    treat_as_released (r);
   if (r->code == LEASE_OK)
     {
       read_clock (o, r, now);
       if (r->exists)
         announce_read_row (o->opts.fleet, &o->clock, &r->row);
-      o->read_us = o->called_us;
+      o->row_read_us = o->call_sent_us;
     }
-  if (!drawn)
+  if (!may_acquire)
     return;
-  o->patient_us = now + PATIENCE_US / 4
-                  + g_rand_int_range (o->rand, 0, (gint32)DRAW_MAX_US);
+  o->acquire_at_us = now + NO_PROGRESS_US / 4
+                     + g_rand_int_range (o->rand, 0, (gint32)JITTER_MAX_US);
   if (r->code != LEASE_OK)
     return;
-  if (is_ours (o, r))
+  if (is_own_row (o, r))
     o->row = r->row;
   else if (lease_is_free (row, o->holder, &o->clock, now))
-    inherit (o, row);
+    take_over_row (o, row);
   else
     {
-      o->patient_us = now + wait_for (o, &r->row, now);
+      o->acquire_at_us = now + holder_wait_us (o, &r->row, now);
       return;
     }
-  write_lease (o, r->exists ? r->version : 0, LEASE_KEEP, now);
+  write_lease (o, r->exists ? r->version : 0, LEASE_RENEW, now);
 }
 
 static void
-reach_for_lease (struct orders *o, int64_t now_us)
+try_acquire_lease (struct orders *o, int64_t now_us)
 {
-  bool doubt = now_us >= o->doubt_us
-               && announce_is_uncertain (o->opts.fleet, o->read_us);
+  bool uncertain = now_us >= o->uncertain_read_us
+                   && announce_is_uncertain (o->opts.fleet, o->row_read_us);
 
-  if (o->calling || (now_us < o->patient_us && !doubt))
+  if (o->calling || (now_us < o->acquire_at_us && !uncertain))
     return;
-  if (doubt)
-    o->doubt_us = now_us + DOUBT_ASK_US / 2
-                  + g_rand_int_range (o->rand, 0, (gint32)DOUBT_ASK_US);
+  if (uncertain)
+    o->uncertain_read_us
+        = now_us + UNCERTAIN_READ_US / 2
+          + g_rand_int_range (o->rand, 0, (gint32)UNCERTAIN_READ_US);
   o->calling = true;
-  o->called_us = now_us;
+  o->call_sent_us = now_us;
   o->opts.ops.read_lease (o->opts.ops.ctx, on_read, o);
 }
 
 static int
-tasks_in_hand (const struct orders *o)
+count_active_tasks (const struct orders *o)
 {
   const struct task *t;
   int n = 0;
@@ -356,50 +367,55 @@
   return n;
 }
 
-/* A place is free for one more endpoint of the model. */
+/* Whether one more endpoint of the model may load now. */
 static bool
-has_place (const struct orders *o, const char *model, int64_t now_us)
+may_load_another (const struct orders *o, const char *model, int64_t now_us)
 {
-  return tasks_in_hand (o) < pick_reload_width (o->opts.fleet, model, now_us);
+  return count_active_tasks (o)
+         < pick_reload_width (o->opts.fleet, model, now_us);
 }
 
-/* Its order may be sent again.  One that held no place needs one for that: if
-   orders get through again, all endpoints would load at one moment. */
+/* Whether the order may be sent again.  A task whose order got no answer did
+   not count against the limit of concurrent loads, so it needs room under that
+   limit: otherwise all endpoints would load at once when orders get through
+   again. */
 static bool
 is_overdue (const struct task *t, int64_t now_us)
 {
-  return t->phase == TASK_LOADING && now_us - t->since_us > t->again_us
+  return t->phase == TASK_LOADING && now_us - t->since_us > t->resend_after_us
          && (!t->unanswered
-             || has_place (t->orders, t->endpoint->is.model, now_us));
+             || may_load_another (t->orders, t->endpoint->is.model, now_us));
 }
 
-/* An endpoint is to be ordered, now or again. */
+/* Whether some endpoint is due for an order, the first or a repeated one. */
 static bool
-has_to_order (const struct orders *o, int64_t now_us)
+is_order_due (const struct orders *o, int64_t now_us)
 {
   const struct task *t;
 
   APR_RING_FOREACH (t, &o->tasks, task, link)
   {
-    if (t->phase == TASK_IDLE || t->phase == TASK_ASKING
+    if (t->phase == TASK_IDLE || t->phase == TASK_QUERYING
         || is_overdue (t, now_us))
       return true;
   }
   return false;
 }
 
-/* Renew in time, and notice the end. */
+/* Renews the lease in time and detects that it expired. */
 static void
-keep_lease (struct orders *o, int64_t now_us)
+renew_lease (struct orders *o, int64_t now_us)
 {
   int64_t left = o->row.expires_ms - lease_latest_ms (&o->clock, now_us);
 
   if (left <= 0 && !o->calling)
-    lose (o, "expired");
+    lease_lost (o, "expired");
   else if (left < RENEW_LEFT_MS && !o->calling)
-    /* With a slow store there may be no call but renewals. */
+    /* With a slow store there may be no time for calls other than renewals,
+       so these extend the window as well. */
     write_lease (o, o->row_version,
-                 has_to_order (o, now_us) ? LEASE_ORDER : LEASE_KEEP, now_us);
+                 is_order_due (o, now_us) ? LEASE_EXTEND_ORDERS : LEASE_RENEW,
+                 now_us);
 }
 
 /* --- tasks ----------------------------------------------------------- */
@@ -429,28 +445,29 @@
 }
 
 /*
- * One without an answer may be carried out seconds later, and then counts: it
- * and the next have the same number.  Until it shows, its endpoint loads
- * nothing and must not keep others from loading: nine endpoints, two at a
- * time, took half a minute when most orders were unanswered, and callers got
- * nothing when the grace of old weights was over.
+ * An order without an answer may be carried out seconds later and then counts
+ * as taken: it and its repetition have the same number.  Until it shows an
+ * effect, its endpoint loads nothing and must not keep others from loading.
+ * Nine endpoints, two at a time, took half a minute when most orders got no
+ * answer, and callers got no answers once outdated weights were no longer
+ * accepted.
  */
 static void
-plan_again (struct task *t, enum order_code code)
+schedule_resend (struct task *t, enum order_code code)
 {
   t->unanswered = code == ORDER_UNKNOWN;
   if (!t->unanswered)
-    t->again_us = ORDER_MAX_US;
-  else if (t->again_us == 0)
-    t->again_us = UNANSWERED_US;
+    t->resend_after_us = RESEND_MAX_US;
+  else if (t->resend_after_us == 0)
+    t->resend_after_us = RESEND_UNANSWERED_US;
   else
-    t->again_us = MIN (2 * t->again_us, ORDER_MAX_US);
+    t->resend_after_us = MIN (2 * t->resend_after_us, RESEND_MAX_US);
 }
 
-/* Answers to orders and questions need not bear all notices that stand. */
+/* Answers to orders and state queries need not contain all current notices. */
 static void
-take_notice (struct task *t, const struct notice *notice, const char *source,
-             int64_t sent_us, int64_t now_us)
+apply_notice (struct task *t, const struct notice *notice, const char *source,
+              int64_t sent_us, int64_t now_us)
 {
   struct notice_from from = { .source = source, .sent_us = sent_us };
 
@@ -469,9 +486,9 @@
   struct orders *o = t->orders;
   int64_t now = loop_now_us ();
 
-  t->busy = false;
+  t->calling = false;
   if (notice != NULL)
-    take_notice (t, notice, "order", t->since_us, now);
+    apply_notice (t, notice, "order", t->since_us, now);
   log_event (LOG_LEVEL_INFO, "order",
              "endpoint=%s outcome=%s model=%s version=%" G_GINT64_FORMAT
              " seq=%" G_GINT64_FORMAT " fence=%" G_GINT64_FORMAT,
@@ -484,8 +501,8 @@
     task_set (t, TASK_SKIPPED, now);
   else
     task_set (t, TASK_LOADING, now);
-  plan_again (t, code);
-  look (o, now);
+  schedule_resend (t, code);
+  check (o, now);
 }
 
 static void
@@ -499,12 +516,12 @@
   t->order.fence = o->fence;
   t->order.seq = seq;
   /*
-   * Runs that go on are whole, and what they make is found by nobody else.
-   * Waiting for them to end would hold the endpoint idle for longer than the
-   * load itself takes.
+   * Requests that continue complete normally, and no other request finds what
+   * they produce.  Waiting for them to end would keep the endpoint idle
+   * for longer than the load takes.
    */
   t->order.continue_running = true;
-  t->busy = true;
+  t->calling = true;
   t->unanswered = false;
   t->endpoint->reload_us = now_us;
   task_set (t, TASK_SENDING, now_us);
@@ -513,15 +530,16 @@
 }
 
 /*
- * Whether the life that answered is the one that the task is about.  A younger
- * one counts its orders anew, and what was ordered before may fit its count:
- * it gets a task of its own, that begins with a question.  An older one is
- * over.  A report that says no start comes from whoever is at the address now,
- * and an order names the count that this one gave, so it is carried out there
- * or refused.
+ * Whether the incarnation that answered is the one that the task handles.  A
+ * newer one counts its orders from zero, and an order sent before could match
+ * its count, so it gets a new task that begins with a state query.  An older
+ * one has ended.  A report without a start time comes from whichever
+ * incarnation is at the address now.  An order names the count from that
+ * report, so that incarnation either carries it out or rejects it.
  */
 static bool
-is_same_life (struct task *t, const struct endpoint_state *s, int64_t now_us)
+is_same_incarnation (struct task *t, const struct endpoint_state *s,
+                     int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
   enum fleet_life life = fleet_life_of (e, s->started_ms);
@@ -540,14 +558,14 @@
 }
 
 static void
-take_version (struct task *t, const struct endpoint_state *s, int64_t now_us)
+apply_version (struct task *t, const struct endpoint_state *s, int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
   int64_t before = e->version;
 
   if (s->busy)
     return;
-  fleet_take_version (e, s->version, t->asked_us - STATE_OLD_US, now_us);
+  fleet_take_version (e, s->version, t->queried_us - STATE_MAX_AGE_US, now_us);
   if (e->version == before)
     return;
   log_event (LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
@@ -557,8 +575,8 @@
              (gint64)(e->reload_us ? now_us - e->reload_us : 0));
 }
 
-/* What the endpoint says decides: an order is sent only where none is being
-   carried out and the version is still old. */
+/* The reported state decides: an order is sent only if none is being carried
+   out and the version is still outdated. */
 static void
 on_state (void *arg, const struct endpoint_state *s)
 {
@@ -566,29 +584,30 @@
   struct orders *o = t->orders;
   int64_t now = loop_now_us ();
 
-  t->busy = false;
+  t->calling = false;
   if (!s->reached)
     {
-      take_notice (t, &s->notice, "report", t->asked_us, now);
-      if (t->phase == TASK_ASKING)
+      apply_notice (t, &s->notice, "report", t->queried_us, now);
+      if (t->phase == TASK_QUERYING)
         task_set (t, TASK_SKIPPED, now);
       return;
     }
-  if (!is_same_life (t, s, now))
+  if (!is_same_incarnation (t, s, now))
     {
       if (t->endpoint->gone)
         loop_arm (o->opts.loop, &o->timer, now);
       return;
     }
-  take_version (t, s, now);
-  take_notice (t, &s->notice, "report", t->asked_us, now);
+  apply_version (t, s, now);
+  apply_notice (t, &s->notice, "report", t->queried_us, now);
   if (!needs_order (o, t->endpoint))
-    look (o, now);
+    check (o, now);
   else if (t->phase == TASK_LOADING && !s->busy
            && s->version >= t->order.version)
     {
-      /* A newer version was named meanwhile: others with older weights may
-         go first now, and this one must not hold a place until then. */
+      /* A newer version was announced meanwhile.  Other endpoints with older
+         weights may go first now, and this one must not count against the
+         limit of concurrent loads until then. */
       task_set (t, TASK_DONE, now);
       loop_arm (o->opts.loop, &o->timer, now);
     }
@@ -596,41 +615,41 @@
     {
       task_set (t, TASK_LOADING, now);
       t->unanswered = false;
-      t->again_us = ORDER_MAX_US;
+      t->resend_after_us = RESEND_MAX_US;
     }
   else if (s->version < wanted_version (o, t->endpoint) && may_order (o, now)
-           && (t->phase == TASK_ASKING || is_overdue (t, now)))
+           && (t->phase == TASK_QUERYING || is_overdue (t, now)))
     send_order (t, s->seq, now);
 }
 
 static void
-ask_state (struct task *t, int64_t now_us)
+query_state (struct task *t, int64_t now_us)
 {
   struct orders *o = t->orders;
 
-  t->busy = true;
-  t->asked_us = now_us;
+  t->calling = true;
+  t->queried_us = now_us;
   o->opts.ops.query_state (o->opts.ops.ctx, t->endpoint, on_state, t);
 }
 
 static void
 step_task (struct task *t, int64_t now_us)
 {
-  if (t->busy)
+  if (t->calling)
     return;
   switch (t->phase)
     {
     case TASK_IDLE:
-      task_set (t, TASK_ASKING, now_us);
-      ask_state (t, now_us);
+      task_set (t, TASK_QUERYING, now_us);
+      query_state (t, now_us);
       break;
-    case TASK_ASKING:
+    case TASK_QUERYING:
     case TASK_LOADING:
-      if (now_us - t->asked_us >= ASK_US)
-        ask_state (t, now_us);
+      if (now_us - t->queried_us >= STATE_POLL_US)
+        query_state (t, now_us);
       break;
     case TASK_SKIPPED:
-      if (now_us - t->since_us >= SKIP_US)
+      if (now_us - t->since_us >= UNREACHABLE_RETRY_US)
         task_set (t, TASK_IDLE, now_us);
       break;
     case TASK_SENDING:
@@ -640,7 +659,7 @@
 }
 
 static struct task *
-task_of (struct orders *o, const struct fleet_endpoint *e)
+find_task (struct orders *o, const struct fleet_endpoint *e)
 {
   struct task *t;
 
@@ -661,12 +680,13 @@
        t != APR_RING_SENTINEL (&o->tasks, task, link); t = next)
     {
       next = APR_RING_NEXT (t, link);
-      if (!t->busy && (t->phase == TASK_DONE || !needs_order (o, t->endpoint)))
+      if (!t->calling
+          && (t->phase == TASK_DONE || !needs_order (o, t->endpoint)))
         task_free (t);
     }
 }
 
-/* The endpoint whose turn is next, by the order that all VMs know. */
+/* The next endpoint in the reload order, which is the same on all VMs. */
 static struct fleet_endpoint *
 next_endpoint (struct orders *o)
 {
@@ -674,7 +694,7 @@
 
   APR_RING_FOREACH (e, &o->opts.fleet->endpoints, fleet_endpoint, link)
   {
-    if (needs_order (o, e) && task_of (o, e) == NULL
+    if (needs_order (o, e) && find_task (o, e) == NULL
         && (best == NULL || pick_reload_before (e, best)))
       best = e;
   }
@@ -682,13 +702,13 @@
 }
 
 static void
-fill (struct orders *o, int64_t now_us)
+add_tasks (struct orders *o, int64_t now_us)
 {
   struct fleet_endpoint *e;
   struct task *t;
 
   while (o->ntasks < MAX_TASKS && (e = next_endpoint (o)) != NULL
-         && has_place (o, e->is.model, now_us))
+         && may_load_another (o, e->is.model, now_us))
     {
       t = g_new0 (struct task, 1);
       t->orders = o;
@@ -708,11 +728,11 @@
   if (!o->held || o->stopped
       || lease_earliest_ms (&o->clock, now_us) < o->row.begin_ms)
     return;
-  fill (o, now_us);
-  if (has_to_order (o, now_us) && !may_order (o, now_us) && !o->calling)
+  add_tasks (o, now_us);
+  if (is_order_due (o, now_us) && !may_order (o, now_us) && !o->calling)
     {
-      /* The answer brings the next look. */
-      write_lease (o, o->row_version, LEASE_ORDER, now_us);
+      /* The answer triggers the next check. */
+      write_lease (o, o->row_version, LEASE_EXTEND_ORDERS, now_us);
       return;
     }
   for (t = APR_RING_FIRST (&o->tasks);
@@ -724,31 +744,32 @@
     }
 }
 
-/* --- looks ----------------------------------------------------------- */
+/* --- checks ---------------------------------------------------------- */
 
-/* A VM without the lease waits: at first a drawn pause, then as long as it
-   sees endpoints change. */
+/* Sets when a VM without the lease may try to acquire it: after a random delay
+   when more endpoints became outdated, later while the number of outdated
+   endpoints falls. */
 static void
-be_patient (struct orders *o, guint old, int64_t now_us)
+schedule_acquire (struct orders *o, guint outdated, int64_t now_us)
 {
-  if (old > o->old)
-    o->patient_us
-        = now_us + g_rand_int_range (o->rand, 0, (gint32)DRAW_MAX_US);
-  else if (old < o->old)
-    o->patient_us = now_us + PATIENCE_US
-                    + g_rand_int_range (o->rand, 0, (gint32)DRAW_MAX_US);
-  o->old = old;
+  if (outdated > o->noutdated)
+    o->acquire_at_us
+        = now_us + g_rand_int_range (o->rand, 0, (gint32)JITTER_MAX_US);
+  else if (outdated < o->noutdated)
+    o->acquire_at_us = now_us + NO_PROGRESS_US
+                       + g_rand_int_range (o->rand, 0, (gint32)JITTER_MAX_US);
+  o->noutdated = outdated;
 }
 
 static void
-look (struct orders *o, int64_t now_us)
+check (struct orders *o, int64_t now_us)
 {
-  guint old = count_old (o);
+  guint outdated = count_outdated (o);
 
-  be_patient (o, old, now_us);
+  schedule_acquire (o, outdated, now_us);
   if (o->stopped)
     return;
-  if (old == 0)
+  if (outdated == 0)
     {
       drop_finished (o);
       if (o->held && !o->calling && o->ntasks == 0)
@@ -762,26 +783,26 @@
         return;
     }
   else if (o->held)
-    keep_lease (o, now_us);
+    renew_lease (o, now_us);
   else
-    reach_for_lease (o, now_us);
+    try_acquire_lease (o, now_us);
   step_tasks (o, now_us);
-  loop_arm (o->opts.loop, &o->timer, now_us + LOOK_US);
+  loop_arm (o->opts.loop, &o->timer, now_us + CHECK_INTERVAL_US);
 }
 
 static void
 on_timer (void *arg, int64_t now_us)
 {
-  look (arg, now_us);
+  check (arg, now_us);
 }
 
 void
 orders_check (struct orders *o, int64_t now_us)
 {
-  look (o, now_us);
+  check (o, now_us);
 }
 
-/* --- life ------------------------------------------------------------ */
+/* --- create, stop and free ------------------------------------------- */
 
 struct orders *
 orders_new (const struct orders_opts *opts)
@@ -807,7 +828,7 @@
     return;
   o->stopped = true;
   loop_disarm (&o->timer);
-  /* A successor then need not wait for the lease to end. */
+  /* A successor then need not wait until the lease expires. */
   if (o->held && !o->calling)
     write_lease (o, o->row_version, LEASE_RELEASE, now);
   o->held = false;
@@ -826,7 +847,7 @@
   int n = o->calling;
 
   APR_RING_FOREACH (t, &o->tasks, task, link)
-  n += t->busy;
+  n += t->calling;
   return n;
 }
 
