--- a/orders.c
+++ b/orders.c
@@ -525,8 +525,8 @@
   t->unanswered = false;
   t->endpoint->reload_us = now_us;
   task_set (t, TASK_SENDING, now_us);
-  o->opts.ops.order (o->opts.ops.ctx, t->endpoint, &t->order, may_send,
-                     on_ordered, t);
+  o->opts.ops.send_order (o->opts.ops.ctx, t->endpoint, &t->order, may_send,
+                          on_ordered, t);
 }
 
 /*
--- a/orders.h
+++ b/orders.h
@@ -90,9 +90,10 @@
                        state_done done, void *arg);
   /* MAY_SEND is called just before the first byte is sent; if it returns
      false, nothing is sent. */
-  void (*order) (void *ctx, const struct fleet_endpoint *e,
-                 const struct load_order *order, bool (*may_send) (void *arg),
-                 order_done done, void *arg);
+  void (*send_order) (void *ctx, const struct fleet_endpoint *e,
+                      const struct load_order *order,
+                      bool (*may_send) (void *arg), order_done done,
+                      void *arg);
   void *ctx; /* passed to all of these functions */
 };
 
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -298,7 +298,7 @@
 
   world_lease_ops (&o.ops);
   o.ops.query_state = state;
-  o.ops.order = order;
+  o.ops.send_order = order;
   o.ops.ctx = v;
   o.vm = names[world_is_off (OFF_SAME_VM) ? 0 : v->index];
   o.holder_gap_us = world_is_off (OFF_GAP) ? 0 : (WORLD_LEASE_MS + 150) * MS;
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -272,7 +272,7 @@
   o.ops.read_lease = read_lease;
   o.ops.write_lease = write_lease;
   o.ops.query_state = state;
-  o.ops.order = order;
+  o.ops.send_order = order;
   o.ops.ctx = st;
   st->orders = orders_new (&o);
   return st;
