--- a/regress/test-lives.c
+++ b/regress/test-lives.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of lives: endpoints that start again under their id, late news of
- * lives that are over, and entries that other writers made.
+ * Unit tests of incarnations: endpoints that restart under their id, late
+ * messages about earlier incarnations, and entries of other writers.
  */
 #include <glib.h>
 #include <string.h>
@@ -27,7 +27,7 @@
 }
 
 static struct fleet_endpoint *
-take (struct fleet *f, int64_t born_ms, int64_t version, bool draining)
+apply_entry (struct fleet *f, int64_t born_ms, int64_t version, bool draining)
 {
   struct fleet_listing l = listing (born_ms, version);
 
@@ -36,10 +36,11 @@
 }
 
 /*
- * An endpoint leaves, full, slow and failing, and is back empty under its id.
- * Callers would find it closed for good, or wait for work that it has no
- * more.  Nothing of the first life is believed of the second, also what
- * requests that still end there say.
+ * An endpoint leaves while it is full, slow and failing, and comes back empty
+ * under its id.  Nothing known of the first incarnation may apply to the
+ * second, also not what requests report that still end at the first.
+ * Otherwise the endpoint would get no requests, or callers would wait for work
+ * that it no longer has.
  */
 static void
 test_started_again (void)
@@ -48,7 +49,7 @@
   struct fleet_endpoint *old, *e;
 
   fleet_init (&f);
-  old = fleet_endpoint_ref (take (&f, 1000, 1, true));
+  old = fleet_endpoint_ref (apply_entry (&f, 1000, 1, true));
   pick_sent (old);
   pick_reported (old, 40, S);
   pick_first (&f, old, 3 * S, S);
@@ -56,7 +57,7 @@
   pick_failed (old, S);
   pick_refused (old, S);
   fleet_take_version (old, 2, FLEET_NEVER, S);
-  e = take (&f, 2000, 2, false);
+  e = apply_entry (&f, 2000, 2, false);
   g_assert_true (e != old);
   g_assert_true (old->gone);
   pick_ended (old);
@@ -78,96 +79,99 @@
 }
 
 /*
- * A heartbeat of the first life was held up, and is written over the second
- * one's entry: it says that the endpoint leaves, with old weights.  Callers
- * would lose a sound endpoint.  The same start is the same life, and one that
- * says no start cannot be placed.
+ * A delayed heartbeat of the first incarnation overwrites the second one's
+ * entry and says that the endpoint leaves, with old weights.  Callers would
+ * lose a working endpoint.  An equal start time means the same incarnation; an
+ * entry without one cannot be ordered and is ignored.
  */
 static void
-test_late_news (void)
+test_late_entry (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
 
   fleet_init (&f);
-  e = take (&f, 2000, 3, false);
-  g_assert_true (take (&f, 1000, 9, true) == e);
-  g_assert_true (take (&f, 0, 9, true) == e);
+  e = apply_entry (&f, 2000, 3, false);
+  g_assert_true (apply_entry (&f, 1000, 9, true) == e);
+  g_assert_true (apply_entry (&f, 0, 9, true) == e);
   g_assert_false (e->draining);
   g_assert_cmpint (e->version, ==, 3);
-  g_assert_true (take (&f, 2000, 3, true) == e);
+  g_assert_true (apply_entry (&f, 2000, 3, true) == e);
   g_assert_true (e->draining);
-  g_assert_true (take (&f, 2000, 3, false) == e);
+  g_assert_true (apply_entry (&f, 2000, 3, false) == e);
   g_assert_true (e->draining);
   fleet_clear (&f);
 }
 
-/* Endpoints that say no start have one life by their id, as far as anybody
-   can tell; when one begins to say it, that is a younger life. */
+/* Endpoints without a start time have one incarnation by their id, as far as
+   can be told; when one begins to give a start time, that is a newer
+   incarnation. */
 static void
-test_no_start (void)
+test_no_start_time (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
 
   fleet_init (&f);
-  e = take (&f, 0, 1, true);
-  g_assert_true (take (&f, 0, 1, false) == e);
+  e = apply_entry (&f, 0, 1, true);
+  g_assert_true (apply_entry (&f, 0, 1, false) == e);
   g_assert_true (e->draining);
   g_assert_cmpint (fleet_life_of (e, 5), ==, FLEET_LIFE_YOUNGER);
-  e = take (&f, 5, 1, false);
+  e = apply_entry (&f, 5, 1, false);
   g_assert_false (e->draining);
   fleet_clear (&f);
 }
 
-/* Its own report says first that it started again: the rest of its entry
-   holds, and it does not leave. */
+/* The endpoint's own report is the first to show that it restarted: the rest
+   of its entry stays valid, and it does not leave. */
 static void
-test_birth_by_report (void)
+test_restart_by_report (void)
 {
   struct fleet f;
   struct fleet_endpoint *old, *e;
 
   fleet_init (&f);
-  old = take (&f, 1000, 1, true);
+  old = apply_entry (&f, 1000, 1, true);
   fleet_take_version (old, 4, FLEET_NEVER, S);
   e = fleet_take_birth (&f, old, 2000, S);
   g_assert_cmpint (e->is.born_ms, ==, 2000);
   g_assert_false (e->draining);
   g_assert_cmpint (e->version, ==, 4);
   g_assert_cmpstr (e->is.address, ==, "127.0.0.1:1");
-  g_assert_true (take (&f, 1000, 1, true) == e);
+  g_assert_true (apply_entry (&f, 1000, 1, true) == e);
   g_assert_false (e->draining);
   fleet_clear (&f);
 }
 
 /*
- * An order to an earlier life is carried out after the restart, and weights
- * go back.  Believed to have the newest, the endpoint refuses all work of
- * callers and nobody orders it.  A word from after the belief counts; an
- * answer that was overtaken by a newer one does not.
+ * An order to an earlier incarnation is carried out after the restart, and the
+ * endpoint returns to older weights.  If it were still taken to have the
+ * newest, it would refuse all requests and get no order.  A report from after
+ * the last known one counts; an answer that was overtaken by a newer one does
+ * not.
  */
 static void
-test_weights_fall (void)
+test_older_weights (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
 
   fleet_init (&f);
   fleet_take_wanted (&f, "m", 3, S, S);
-  e = take (&f, 2000, 3, false);
+  e = apply_entry (&f, 2000, 3, false);
   g_assert_false (fleet_needs_weights (&f, e));
   fleet_take_version (e, 2, S - 1, 2 * S);
   g_assert_cmpint (e->version, ==, 3);
   fleet_take_version (e, 2, S + 1, 2 * S);
   g_assert_cmpint (e->version, ==, 2);
   g_assert_true (fleet_needs_weights (&f, e));
-  /* Sent before the fall was heard of, answered after it. */
+  /* Sent before the older version was known, answered after it. */
   fleet_take_version (e, 1, 2 * S - 1, 3 * S);
   g_assert_cmpint (e->version, ==, 2);
   fleet_take_version (e, 3, FLEET_NEVER, 4 * S);
   g_assert_false (fleet_needs_weights (&f, e));
-  /* It refuses its weights and names no others: somebody must ask it. */
+  /* It refuses its weights and names no others, so its state must be queried.
+   */
   fleet_doubt_version (e);
   g_assert_true (fleet_needs_weights (&f, e));
   fleet_take_version (e, 3, 4 * S, 5 * S);
@@ -179,50 +183,50 @@
 
 /* --- entries of other writers ---------------------------------------- */
 
-#define GOOD                                                                  \
+#define VALID                                                                 \
   "\"Service\":\"app\",\"Address\":\"10.0.0.1:80\",\"Zone\":\"d\","           \
   "\"State\":\"ready\",\"Slots\":8"
 
 /*
- * Each of these says almost what an entry says.  Taken for one, a caller's
- * request would go to an address that somebody wrote down for another
- * purpose, or to an endpoint in a state that nobody knows.
+ * Each entry is almost valid.  If one were accepted, a request would go to an
+ * address that was written for another purpose, or to an endpoint in an
+ * unknown state.
  */
 static void
-test_flaws (void)
+test_invalid_entries (void)
 {
   static const struct
   {
-    const char *text; /* of the entry */
-    const char *flaw; /* NULL if it is good */
+    const char *text; /* text of the entry */
+    const char *flaw; /* expected flaw; NULL if the entry is valid */
   } entries[] = {
-    { "{" GOOD "}", NULL },
-    { "{" GOOD ",\"born\":1785000000000,\"New\":{\"x\":[1]}}", NULL },
-    { "{" GOOD ",\"Models\":[]}", NULL },
-    { "{" GOOD ",\"Models\":[{\"Name\":\"m\",\"Version\":2}]}", NULL },
+    { "{" VALID "}", NULL },
+    { "{" VALID ",\"born\":1785000000000,\"New\":{\"x\":[1]}}", NULL },
+    { "{" VALID ",\"Models\":[]}", NULL },
+    { "{" VALID ",\"Models\":[{\"Name\":\"m\",\"Version\":2}]}", NULL },
     { "", "no_object" },
-    { "{" GOOD, "no_object" },
-    { "[{" GOOD "}]", "no_object" },
+    { "{" VALID, "no_object" },
+    { "[{" VALID "}]", "no_object" },
     { "\xff\xfe", "no_object" },
-    { "{" GOOD ",\"born\":\"1785000000000\"}", "born" },
-    { "{" GOOD ",\"born\":1785000000000.5}", "born" },
-    { "{" GOOD ",\"born\":0}", "born" },
-    { "{" GOOD ",\"born\":null}", "born" },
-    { "{" GOOD ",\"Service\":7}", "service" },
-    { "{" GOOD ",\"Service\":\"\"}", "service" },
-    { "{" GOOD ",\"Address\":\"app.example:80\"}", "address" },
-    { "{" GOOD ",\"Address\":\"10.0.0.1\"}", "address" },
-    { "{" GOOD ",\"Address\":\"10.0.0.1:0\"}", "address" },
-    { "{" GOOD ",\"Address\":\"10.0.0.1:80/x\"}", "address" },
-    { "{" GOOD ",\"Address\":{\"Ip\":\"10.0.0.1\"}}", "address" },
-    { "{" GOOD ",\"Zone\":null}", "domain" },
-    { "{" GOOD ",\"State\":\"asleep\"}", "state" },
-    { "{" GOOD ",\"State\":true}", "state" },
-    { "{" GOOD ",\"Slots\":\"8\"}", "slots" },
-    { "{" GOOD ",\"Slots\":-1}", "slots" },
-    { "{" GOOD ",\"Models\":\"m\"}", "model" },
-    { "{" GOOD ",\"Models\":[\"m\"]}", "model" },
-    { "{" GOOD ",\"Models\":[{\"Name\":\"m\",\"Version\":\"2\"}]}", "model" },
+    { "{" VALID ",\"born\":\"1785000000000\"}", "born" },
+    { "{" VALID ",\"born\":1785000000000.5}", "born" },
+    { "{" VALID ",\"born\":0}", "born" },
+    { "{" VALID ",\"born\":null}", "born" },
+    { "{" VALID ",\"Service\":7}", "service" },
+    { "{" VALID ",\"Service\":\"\"}", "service" },
+    { "{" VALID ",\"Address\":\"app.example:80\"}", "address" },
+    { "{" VALID ",\"Address\":\"10.0.0.1\"}", "address" },
+    { "{" VALID ",\"Address\":\"10.0.0.1:0\"}", "address" },
+    { "{" VALID ",\"Address\":\"10.0.0.1:80/x\"}", "address" },
+    { "{" VALID ",\"Address\":{\"Ip\":\"10.0.0.1\"}}", "address" },
+    { "{" VALID ",\"Zone\":null}", "domain" },
+    { "{" VALID ",\"State\":\"asleep\"}", "state" },
+    { "{" VALID ",\"State\":true}", "state" },
+    { "{" VALID ",\"Slots\":\"8\"}", "slots" },
+    { "{" VALID ",\"Slots\":-1}", "slots" },
+    { "{" VALID ",\"Models\":\"m\"}", "model" },
+    { "{" VALID ",\"Models\":[\"m\"]}", "model" },
+    { "{" VALID ",\"Models\":[{\"Name\":\"m\",\"Version\":\"2\"}]}", "model" },
   };
   struct fleet_listing l;
   size_t i;
@@ -235,9 +239,9 @@
   g_assert_cmpint (l.born_ms, ==, INT64_C (1785000000000));
 }
 
-/* An entry names a service that the operator never declared, and the model
-   whose weights change: nobody orders that address about, nor does it count
-   among those that change. */
+/* An entry names a service that the operator never declared, and a model whose
+   weights change: the address gets no order, and it does not count among the
+   endpoints that change. */
 static void
 test_undeclared (void)
 {
@@ -249,19 +253,19 @@
   fleet_conf_seal (c);
   fleet_take_conf (&f, c, 1);
   fleet_take_wanted (&f, "m", 3, S, S);
-  e = take (&f, 1, 1, false);
+  e = apply_entry (&f, 1, 1, false);
   g_assert_nonnull (fleet_outdated_by (&f, e));
   g_assert_false (fleet_needs_weights (&f, e));
   fleet_clear (&f);
 }
 
 const struct unit lives_units[] = {
-  { "/lives/started-again", test_started_again },
-  { "/lives/late-news", test_late_news },
-  { "/lives/no-start", test_no_start },
-  { "/lives/birth-by-report", test_birth_by_report },
-  { "/lives/weights-fall", test_weights_fall },
-  { "/lives/flaws", test_flaws },
-  { "/lives/undeclared", test_undeclared },
+  { "/incarnations/started-again", test_started_again },
+  { "/incarnations/late-entry", test_late_entry },
+  { "/incarnations/no-start-time", test_no_start_time },
+  { "/incarnations/restart-by-report", test_restart_by_report },
+  { "/incarnations/older-weights", test_older_weights },
+  { "/incarnations/invalid-entries", test_invalid_entries },
+  { "/incarnations/undeclared", test_undeclared },
   { NULL, NULL },
 };
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of leases and of orders under them: the test plays the store's
- * row and the endpoints, and brings each fault about at its moment.
+ * Unit tests of the lease and of the orders under it.  The test simulates the
+ * store's row and the endpoints, and injects each fault.
  */
 #include <glib.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 
 /* --- lease ----------------------------------------------------------- */
 
-/* Two readings of the store's clock bound it from both sides. */
+/* A reading of the store's clock gives a lower and an upper bound. */
 static void
 test_clock (void)
 {
@@ -34,10 +34,10 @@
 }
 
 /*
- * Endpoints that do not check fences carry out orders of both holders if they
- * overlap.  Over all delays of both VMs' readings of the clock, the last
- * order that the first may give and the first that the second may give are
- * the gap apart.
+ * Guards against overlapping holders: endpoints that do not check fencing
+ * tokens would carry out orders of both.  Over all delays of both VMs'
+ * readings of the clock, the last order that the first holder may give and the
+ * first order of its successor are at least the gap apart.
  */
 static void
 test_no_overlap (void)
@@ -56,7 +56,8 @@
     for (back = 0; back <= 600; back += 50)
       for (now = 1200; now < 12000; now += 20)
         {
-          /* True store time equals true time; the reading was at THERE. */
+          /* The store's time equals the simulated time; the store was read at
+             THERE. */
           struct lease_clock c = { 0, (there + back) * MS, there };
 
           if (c.store_ms == 0)
@@ -72,9 +73,10 @@
   g_assert_cmpint (first_b - last_a, >=, GAP_MS);
 }
 
-/* A holder that lets go says when it ordered last: its successor waits only
-   from then.  A later life of the same VM is bound by what the earlier one
-   was: nothing, or the orders of a holder before both. */
+/* A holder that releases the lease states when it ordered last, and its
+   successor waits only from then.  A later incarnation of the same VM is bound
+   by the same limit as the earlier one: none, or the orders of a holder before
+   both. */
 static void
 test_released (void)
 {
@@ -97,39 +99,39 @@
 
 /* --- orders ---------------------------------------------------------- */
 
-/* A played store row, and one played endpoint. */
+/* A simulated store row and endpoint. */
 struct stage
 {
-  struct loop *loop;       /* for timers */
-  struct fleet fleet;      /* beliefs */
+  struct loop *loop;       /* loop for timers */
+  struct fleet fleet;      /* the VM's view of the endpoints */
   struct orders *orders;   /* under test */
   struct lease_row row;    /* in the store */
   int64_t row_version;     /* 0: no row */
-  bool lose_write;         /* the next write is done, its reply lost */
-  int64_t slow_us;         /* replies to writes come so late */
-  struct loop_timer late;  /* one that is to come */
-  lease_done late_done;    /* whom to tell then */
+  bool lose_write;         /* the next write is done, but its reply is lost */
+  int64_t slow_us;         /* delay of replies to writes */
+  struct loop_timer late;  /* timer of a delayed reply */
+  lease_done late_done;    /* callback of the delayed reply */
   void *late_arg;          /* passed to it */
-  bool mute;               /* the endpoint does not tell its state */
-  bool lowered;            /* the row forgot an order that may still leave */
-  int writes;              /* of the row, so far */
-  bool lose_orders;        /* orders get no answer */
-  int64_t clock_offset_ms; /* the store's clock is so far ahead */
-  int64_t seq;             /* orders the endpoint took */
-  int64_t born_ms;         /* start of its life, as its report says */
-  int64_t version;         /* its weights */
-  bool busy;               /* it carries one out */
-  bool hold_busy;          /* it does so until the test says */
-  bool each_busy;          /* each endpoint that took an order carries it out,
-                              longer than the test */
-  GHashTable *loading;     /* these endpoints, by id */
-  int asked;               /* questions for its state */
-  int orders_sent;         /* that left */
-  int64_t last_seq;        /* precondition of the last one */
-  int64_t last_fence;      /* of the last one */
-  int64_t later_us;        /* what is_later waits for */
-  struct notice in_report; /* what the endpoint says in reports */
-  struct notice in_order;  /* and in answers to orders */
+  bool ignore_queries;     /* the endpoint does not answer state queries */
+  bool window_shortened;   /* a write shortened the window for orders */
+  int writes;              /* writes of the row so far */
+  bool lose_orders;        /* orders are lost and get no answer */
+  int64_t clock_offset_ms; /* how far the store's clock is ahead */
+  int64_t seq;             /* orders that the endpoint has taken */
+  int64_t started_ms; /* start of its incarnation, as its reports give it */
+  int64_t version;    /* version of its weights */
+  bool busy;          /* it carries out an order */
+  bool hold_busy;     /* it stays busy until the test clears busy */
+  bool each_busy; /* each endpoint that took an order stays busy for the rest
+                     of the test */
+  GHashTable *loading; /* ids of the endpoints that are busy with each_busy */
+  int queries;         /* state queries received */
+  int orders_sent;     /* orders that were sent */
+  int64_t last_seq;    /* precondition of the last order */
+  int64_t last_fence;  /* fencing token of the last order */
+  int64_t later_us;    /* time that is_later waits for */
+  struct notice in_report; /* notices in the endpoint's state reports */
+  struct notice in_order;  /* notices in its answers to orders */
 };
 
 static int64_t
@@ -176,7 +178,8 @@
       reply_row (st, LEASE_CONFLICT, done, arg);
       return;
     }
-  st->lowered |= !r->released && r->order_until_ms < st->row.order_until_ms;
+  st->window_shortened
+      |= !r->released && r->order_until_ms < st->row.order_until_ms;
   st->writes++;
   st->row = *r;
   st->row_version += 7;
@@ -200,16 +203,17 @@
 }
 
 static void
-state (void *ctx, const struct fleet_endpoint *e, state_done done, void *arg)
+query_state (void *ctx, const struct fleet_endpoint *e, state_done done,
+             void *arg)
 {
   struct stage *st = ctx;
   struct endpoint_state s = { .reached = true };
 
-  st->asked++;
-  if (st->mute)
+  st->queries++;
+  if (st->ignore_queries)
     return;
   s.busy = st->busy;
-  s.started_ms = st->born_ms;
+  s.started_ms = st->started_ms;
   s.seq = st->seq;
   if (st->each_busy)
     {
@@ -222,8 +226,9 @@
 }
 
 static void
-order (void *ctx, const struct fleet_endpoint *e, const struct load_order *o,
-       bool (*may_send) (void *arg), order_done done, void *arg)
+send_order (void *ctx, const struct fleet_endpoint *e,
+            const struct load_order *o, bool (*may_send) (void *arg),
+            order_done done, void *arg)
 {
   struct stage *st = ctx;
 
@@ -232,7 +237,7 @@
       done (arg, ORDER_REJECTED, NULL);
       return;
     }
-  /* Whoever takes over now knows from the row how long to wait. */
+  /* A VM that takes over now must see in the row how long to wait. */
   g_assert_cmpint (st->row.order_until_ms, >, store_ms (st));
   st->orders_sent++;
   st->last_seq = o->seq;
@@ -271,8 +276,8 @@
   o.fleet = &st->fleet;
   o.ops.read_lease = read_lease;
   o.ops.write_lease = write_lease;
-  o.ops.query_state = state;
-  o.ops.send_order = order;
+  o.ops.query_state = query_state;
+  o.ops.send_order = send_order;
   o.ops.ctx = st;
   st->orders = orders_new (&o);
   return st;
@@ -295,17 +300,17 @@
   loop_stop (arg);
 }
 
-/* Let time pass until DONE says so, or for at most twenty seconds. */
+/* Runs the loop until DONE returns true, for at most 20 s. */
 struct wait
 {
-  struct stage *st;                      /* of the test */
-  bool (*done) (const struct stage *st); /* what is waited for */
-  struct loop_timer timer;               /* next look */
-  int64_t until_us;                      /* give up then */
+  struct stage *st;                      /* the test's stage */
+  bool (*done) (const struct stage *st); /* condition that ends the wait */
+  struct loop_timer timer;               /* next check of the condition */
+  int64_t until_us;                      /* end of the wait */
 };
 
 static void
-look_again (void *arg, int64_t now_us)
+check_again (void *arg, int64_t now_us)
 {
   struct wait *w = arg;
 
@@ -321,7 +326,7 @@
   struct wait w = { .st = st, .done = done };
 
   w.until_us = loop_now_us () + 20 * CQ_US_PER_S;
-  w.timer.fire = look_again;
+  w.timer.fire = check_again;
   w.timer.arg = &w;
   loop_arm (st->loop, &w.timer, loop_now_us ());
   loop_run (st->loop);
@@ -335,7 +340,7 @@
 }
 
 static void
-name_version (struct stage *st)
+announce_version (struct stage *st)
 {
   int64_t now = loop_now_us ();
 
@@ -343,16 +348,16 @@
   orders_check (st->orders, now);
 }
 
-/* A version is named: the lease is taken, one order given, the effect read
-   back, the lease let go.  The reply to the first write is lost; a read tells
-   that it was done. */
+/* A version is announced: the lease is acquired, one order is given, its
+   effect is read back, and the lease is released.  The reply to the first
+   write is lost, and a read shows that it was done. */
 static void
 test_orders (void)
 {
   struct stage *st = stage_new ();
 
   st->lose_write = true;
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
   g_assert_cmpint (st->last_seq, ==, 0);
@@ -376,10 +381,11 @@
 }
 
 /*
- * An order gets no answer.  It may be carried out seconds later; sent again
- * blindly, the endpoint would load twice and drop what it has read since.
- * The second one carries the same number, so only one of both counts, and need
- * not wait until the first can come no more.
+ * Guards against loading twice: an order without an answer may be carried out
+ * seconds later.  If it were repeated under a new number, the endpoint would
+ * load again and drop what it has cached since.  The repeated order has the
+ * same number, so only one of the two counts, and it need not wait until the
+ * first can no longer arrive.
  */
 static void
 test_order_unknown (void)
@@ -388,15 +394,15 @@
   int64_t sent;
 
   st->lose_orders = true;
-  name_version (st);
+  announce_version (st);
   wait_until (st, was_sent);
   sent = loop_now_us ();
   wait_until (st, sent_twice);
   g_assert_cmpint (st->last_seq, ==, 0);
-  /* Not before the endpoint's word can show the first one, and soon after. */
+  /* Only after a report can show the first order, and soon after that. */
   g_assert_cmpint (loop_now_us () - sent, >=, 250 * MS);
   g_assert_cmpint (loop_now_us () - sent, <, 1500 * MS);
-  /* The late one is carried out now: nothing more is sent. */
+  /* The late order is carried out now, so nothing more is sent. */
   st->seq = 1;
   st->version = 2;
   wait_until (st, is_released);
@@ -417,25 +423,25 @@
 }
 
 /*
- * The endpoint starts again while it loads, and says so itself before its
- * entry does.  Its count begins anew, so an order by the old count would be
- * refused for good, and callers would find it on old weights.
+ * The endpoint restarts while it loads, and its own report shows that before
+ * its entry does.  Its count of orders starts from zero: with the old count
+ * every order would be rejected, and the endpoint would keep old weights.
  */
 static void
 test_restart_while_loading (void)
 {
   struct stage *st = stage_new ();
 
-  st->born_ms = 1000;
+  st->started_ms = 1000;
   endpoint_of (st)->is.born_ms = 1000;
   st->hold_busy = true;
-  name_version (st);
+  announce_version (st);
   wait_until (st, was_sent);
   g_assert_cmpint (st->seq, ==, 1);
   st->hold_busy = false;
   st->busy = false;
   st->seq = 0;
-  st->born_ms = 2000;
+  st->started_ms = 2000;
   wait_until (st, was_sent_again);
   g_assert_cmpint (st->last_seq, ==, 0);
   g_assert_cmpint (endpoint_of (st)->is.born_ms, ==, 2000);
@@ -444,29 +450,29 @@
 }
 
 /*
- * A report of the life before, held up on the way, says that the endpoint has
- * taken three orders and the newest weights.  Believed, it would be left on
- * old ones.
+ * A delayed report of the previous incarnation says that the endpoint has
+ * taken three orders and has the newest weights.  If it were used, the
+ * restarted endpoint would keep old weights.
  */
 static void
-test_report_of_life_before (void)
+test_report_of_previous_incarnation (void)
 {
   struct stage *st = stage_new ();
 
-  st->born_ms = 1000;
+  st->started_ms = 1000;
   endpoint_of (st)->is.born_ms = 2000;
   st->seq = 3;
   st->version = 2;
-  name_version (st);
-  /* Long enough for some questions. */
+  announce_version (st);
+  /* Long enough for several state queries. */
   loop_arm (st->loop, &st->late, loop_now_us () + 1200 * MS);
   st->late.fire = stop_loop;
   st->late.arg = st->loop;
   loop_run (st->loop);
-  g_assert_cmpint (st->asked, >, 1);
+  g_assert_cmpint (st->queries, >, 1);
   g_assert_cmpint (st->orders_sent, ==, 0);
   g_assert_cmpint (endpoint_of (st)->version, ==, 1);
-  st->born_ms = 2000;
+  st->started_ms = 2000;
   st->seq = 0;
   st->version = 1;
   wait_until (st, is_released);
@@ -475,16 +481,16 @@
   stage_free (st);
 }
 
-/* Guards against endpoints that are never ordered, since their entries say
-   when they started and their reports do not. */
+/* Guards against endpoints that never get an order because their entries
+   contain a start time and their reports do not. */
 static void
 test_report_without_start (void)
 {
   struct stage *st = stage_new ();
 
-  st->born_ms = 0;
+  st->started_ms = 0;
   endpoint_of (st)->is.born_ms = 2000;
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
   g_assert_cmpint (endpoint_of (st)->version, ==, 2);
@@ -492,20 +498,21 @@
 }
 
 /*
- * After the change an order to the life before is carried out, and weights go
- * back; callers' requests are refused there.  The doubt that their answers
- * raise has the endpoint asked and ordered again.
+ * After the change, an order to the previous incarnation is carried out, and
+ * the endpoint returns to older weights, so requests are refused there.  These
+ * refusals make the version uncertain, so the endpoint is queried and ordered
+ * again.
  */
 static void
 test_weights_fell (void)
 {
   struct stage *st = stage_new ();
 
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (endpoint_of (st)->version, ==, 2);
   st->version = 1;
-  /* Older than what a report may be old by. */
+  /* Older than a report may be. */
   endpoint_of (st)->version_us = loop_now_us () - 2 * CQ_US_PER_S;
   fleet_doubt_version (endpoint_of (st));
   orders_check (st->orders, loop_now_us ());
@@ -515,9 +522,10 @@
   stage_free (st);
 }
 
-/* A naming that this VM hears when it starts: it cannot know when it was. */
+/* An announcement that this VM sees only when it starts, so it cannot know
+   when it was made. */
 static void
-hear_late (struct stage *st)
+announce_unseen (struct stage *st)
 {
   int64_t now = loop_now_us ();
 
@@ -525,16 +533,16 @@
   orders_check (st->orders, now);
 }
 
-/* Version 2 was not named before. */
+/* Earliest time at which version 2 may have been announced. */
 static int64_t
-not_before (const struct stage *st)
+earliest_announcement_us (const struct stage *st)
 {
   return fleet_not_before (&st->fleet, "m", 2);
 }
 
-/* Whether old weights that take work for LIMIT_US would take some now. */
+/* Whether outdated weights would be used now if they may be for LIMIT_US. */
 static bool
-has_grace (const struct stage *st, int64_t limit_us)
+accepts_outdated (const struct stage *st, int64_t limit_us)
 {
   return !fleet_outdated_for (&st->fleet,
                               APR_RING_FIRST (&st->fleet.endpoints), limit_us,
@@ -542,13 +550,13 @@
 }
 
 /*
- * Callers get answers by weights that were outdated long ago, from a VM that
- * started since: it hears of the newer ones when it starts.  The row says when
- * they were named, and this VM reads it before it uses the old ones, though
- * another holds the lease.
+ * Guards against the use of weights that were outdated long ago, on a VM that
+ * started since and sees the announcement only then.  The row contains its
+ * time, and the VM reads it before it uses the old weights, although another
+ * VM holds the lease.
  */
 static void
-test_naming_recorded (void)
+test_announcement_recorded (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement n = { "m", 2, store_ms (st) - 10000 };
@@ -557,28 +565,28 @@
   st->row_version = 5;
   lease_add_announcement (&st->row, &n);
   fleet_take_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
-  g_assert_false (has_grace (st, INT64_MAX));
+  g_assert_false (accepts_outdated (st, INT64_MAX));
   orders_check (st->orders, loop_now_us ());
-  g_assert_true (has_grace (st, 12 * CQ_US_PER_S));
-  g_assert_false (has_grace (st, 9900 * MS));
-  /* That was a question, not an attempt to take the lease. */
+  g_assert_true (accepts_outdated (st, 12 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9900 * MS));
+  /* That was a read only, no attempt to acquire the lease. */
   g_assert_cmpstr (st->row.holder, ==, "other/1");
   stage_free (st);
 }
 
 static bool
-has_four_seconds (const struct stage *st)
+accepts_four_seconds_old (const struct stage *st)
 {
-  return has_grace (st, 4 * CQ_US_PER_S);
+  return accepts_outdated (st, 4 * CQ_US_PER_S);
 }
 
 /*
- * A VM starts just after a naming, before another has written it down, or when
- * all were away.  How long ago it was nobody can tell: old weights take no
- * work, and the row is read again until it tells.
+ * A VM starts just after an announcement, before another VM has written it to
+ * the row, or after all VMs were down.  Its time is unknown: old weights are
+ * not used, and the row is read again until it contains the time.
  */
 static void
-test_naming_unrecorded (void)
+test_announcement_unrecorded (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement n = { "m", 2, store_ms (st) - 1000 };
@@ -586,36 +594,38 @@
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  hear_late (st);
-  g_assert_false (has_grace (st, INT64_MAX));
+  announce_unseen (st);
+  g_assert_false (accepts_outdated (st, INT64_MAX));
   lease_add_announcement (&st->row, &n);
   st->row_version++;
-  wait_until (st, has_four_seconds);
+  wait_until (st, accepts_four_seconds_old);
   g_assert_cmpint (loop_now_us () - began, <, 900 * MS);
-  g_assert_false (has_grace (st, 1000 * MS));
+  g_assert_false (accepts_outdated (st, 1000 * MS));
   stage_free (st);
 }
 
-/* All VMs may have that question at one moment; it is no attempt to take the
-   lease, for which each waits a drawn while. */
+/* All VMs may read the row at the same moment because of this uncertainty.
+   Such a read does not acquire the lease, for which each VM waits a random
+   delay. */
 static void
-test_question_takes_nothing (void)
+test_uncertain_read_only (void)
 {
   struct stage *st = stage_new ();
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row.released = true;
   st->row_version = 5;
-  hear_late (st);
+  announce_unseen (st);
   g_assert_cmpstr (st->row.holder, ==, "other/1");
   wait_until (st, was_sent);
   g_assert_cmpint (st->orders_sent, ==, 1);
   stage_free (st);
 }
 
-/* A VM that heard a naming as it was made trusts that, and asks nobody. */
+/* A VM that saw an announcement when it was made relies on that and does not
+   read the row. */
 static void
-test_naming_heard (void)
+test_announcement_seen (void)
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
@@ -624,14 +634,14 @@
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
   orders_check (st->orders, now);
-  g_assert_cmpint (not_before (st), ==, now - 1000 * MS);
+  g_assert_cmpint (earliest_announcement_us (st), ==, now - 1000 * MS);
   stage_free (st);
 }
 
-/* Whoever takes the lease writes into the row what it knows of namings; what
-   the row had of others stays. */
+/* The VM that acquires the lease adds the announcements that it knows to the
+   row; those of other VMs stay. */
 static void
-test_naming_written (void)
+test_announcement_written (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement other = { "n", 7, 1234 };
@@ -668,13 +678,14 @@
 }
 
 /*
- * Endpoints carry orders out seconds after they got them, and answer none.  If
- * each held a place for as long, nine of them, two at a time, would keep old
- * weights for half a minute, and callers would get nothing when the grace of
- * old weights is over.  An order that shows no effect holds no place.
+ * Endpoints carry out orders seconds after they got them and answer none.  If
+ * each counted against the limit of concurrent loads for as long, nine of
+ * them, two at a time, would keep old weights for half a minute, and callers
+ * would get no answers once outdated weights are no longer accepted.  An order
+ * that shows no effect does not count.
  */
 static void
-test_unanswered_hold_no_place (void)
+test_unanswered_not_counted (void)
 {
   struct stage *st = stage_new ();
   struct fleet_listing l = { .version = 1, .slots = 4 };
@@ -688,26 +699,27 @@
       fleet_take_listing (&st->fleet, &l, 1);
     }
   st->lose_orders = true;
-  name_version (st);
+  announce_version (st);
   wait_until (st, all_were_ordered);
   g_assert_cmpint (loop_now_us () - began, <, 4000 * MS);
   stage_free (st);
 }
 
 static bool
-row_is_ours (const struct stage *st)
+is_row_own (const struct stage *st)
 {
   return strncmp (st->row.holder, "vm/", 3) == 0;
 }
 
 /*
- * Versions 2 and 3 are named eight seconds apart; a VM that starts then, or
- * was cut off meanwhile, finds only the newest in the operators' table.  An
- * endpoint with version 1 has been outdated since 2 was named: counted from
- * the naming of 3, callers get answers by version 1 for eight seconds more.
+ * Versions 2 and 3 are announced eight seconds apart.  A VM that starts then,
+ * or had no connection meanwhile, finds only the newest in the operators'
+ * table.  An endpoint with version 1 has been outdated since the announcement
+ * of 2; counted from that of 3, callers would get answers by version 1 for
+ * eight seconds more.
  */
 static void
-test_naming_between_unheard (void)
+test_announcement_between_unseen (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement two = { "m", 2, store_ms (st) - 10000 };
@@ -720,14 +732,15 @@
   lease_add_announcement (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, 0, now);
   orders_check (st->orders, now);
-  g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
 
-/* The same on a VM that was cut off since before both: what it knew by itself,
-   that nothing was named eleven seconds ago, was right before it asked. */
+/* The same on a VM that had no connection since before both.  What it knew,
+   that nothing was announced eleven seconds ago, is a correct bound before it
+   reads the row. */
 static void
-test_naming_between_cut_off (void)
+test_announcement_between_disconnected (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement two = { "m", 2, store_ms (st) - 10000 };
@@ -739,19 +752,20 @@
   lease_add_announcement (&st->row, &two);
   lease_add_announcement (&st->row, &three);
   fleet_take_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
-  g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   orders_check (st->orders, now);
-  g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
 
 /*
- * Eight versions of another model were named over the VM's life, and now one
- * of this model is.  The row holds eight namings; the one that counts must be
- * among them, or a VM that starts ten seconds later takes it for new.
+ * LEASE_ANNOUNCEMENTS_MAX versions of another model were announced, and now
+ * one of this model is.  The row is full of announcements of the other model;
+ * the one that matters must be among its entries, or a VM that starts ten
+ * seconds later takes it for new.
  */
 static void
-test_naming_not_crowded_out (void)
+test_announcement_not_displaced (void)
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
@@ -774,12 +788,12 @@
 }
 
 /*
- * A VM heard of a naming ten seconds ago, as it was made.  All VMs were killed
- * but this one, or one of them took the naming for new: the row has it as of
- * two seconds ago.  It cannot have been named after it was heard.
+ * A VM saw an announcement ten seconds ago, when it was made.  All other VMs
+ * were killed, or one of them took it for new, and the row dates it two
+ * seconds ago.  It cannot have been made after this VM saw it.
  */
 static void
-test_naming_not_after_heard (void)
+test_announcement_not_after_seen (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement late = { "m", 2, store_ms (st) - 2000 };
@@ -791,21 +805,22 @@
   fleet_take_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
   orders_check (st->orders, now);
   wait_until (st, is_released);
-  g_assert_cmpint (not_before (st), <=, now - 10000 * MS);
-  /* Nor does this VM hand the error on. */
+  g_assert_cmpint (earliest_announcement_us (st), <=, now - 10000 * MS);
+  /* This VM does not write the wrong time back. */
   g_assert_cmpint (st->row.announcements[0].since_ms, <=,
                    store_ms (st) - 10000);
   stage_free (st);
 }
 
 /*
- * A VM started twenty seconds ago and heard then that newer weights had been
- * named; all endpoints had them, so it asked nobody.  One starts now with the
- * old ones.  Nobody recorded the naming, but it was made before it was heard:
- * nothing of the grace is left.
+ * A VM started twenty seconds ago and saw then that newer weights had been
+ * announced; all endpoints had them, so it did not read the row.  Now an
+ * endpoint starts with the old weights.  Nobody recorded the announcement, but
+ * it was made before this VM saw it, so the time for which outdated weights
+ * are accepted is over.
  */
 static void
-test_naming_heard_long_ago (void)
+test_announcement_seen_long_ago (void)
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
@@ -814,19 +829,19 @@
   st->row_version = 5;
   fleet_take_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
   orders_check (st->orders, now);
-  g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
 
 /*
- * All endpoints of a model were away when newer weights were named, so nobody
- * reached for the lease and nobody recorded it.  One comes back with old
- * weights just when this VM has started: its question is faster than the
- * record of a VM that heard the naming.  When it reads that record, a guess
- * must not count for more than what is known.
+ * All endpoints of a model were down when newer weights were announced, so no
+ * VM tried to acquire the lease and none recorded it.  One comes back with old
+ * weights just when this VM has started, and this VM reads the row before a VM
+ * that saw the announcement has written it.  When it reads that entry later,
+ * the known time must take precedence over its estimate.
  */
 static void
-test_naming_recorded_later (void)
+test_announcement_recorded_later (void)
 {
   struct stage *st = stage_new ();
   struct lease_announcement known = { "m", 2, store_ms (st) - 10000 };
@@ -835,18 +850,19 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row.released = true;
   st->row_version = 5;
-  hear_late (st);
-  /* The one that knows has it written now, and orders nothing. */
+  announce_unseen (st);
+  /* The VM that saw the announcement has written it now, and gives no orders.
+   */
   st->row_version = 6;
   lease_add_announcement (&st->row, &known);
   st->hold_busy = true;
-  wait_until (st, row_is_ours);
+  wait_until (st, is_row_own);
   g_assert_cmpint (loop_now_us () - now, <, 2 * CQ_US_PER_S);
-  g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
+  g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
 }
 
-/* --- orders that come back ------------------------------------------- */
+/* --- lost orders, slow stores, several holders ----------------------- */
 
 static int
 count_accepted (const struct stage *st)
@@ -864,13 +880,13 @@
 }
 
 /*
- * For four seconds no endpoint gets orders, then all do.  Those that were lost
- * are sent again; if all endpoints load at one moment, callers get nothing
- * from any of them.  Two at a time load, four at the most when the grace of
- * old weights is over.
+ * For four seconds no endpoint gets orders, then all do, and the lost orders
+ * are sent again.  If all endpoints loaded at once, callers would get no
+ * answers from any of them.  Two load at a time, and at most four once
+ * outdated weights are no longer accepted.
  */
 static void
-test_lost_orders_keep_width (void)
+test_lost_orders_keep_limit (void)
 {
   struct stage *st = stage_new ();
   struct fleet_listing l = { .version = 1, .slots = 4 };
@@ -887,26 +903,26 @@
     }
   st->lose_orders = true;
   st->each_busy = true;
-  name_version (st);
+  announce_version (st);
   loop_arm (st->loop, &back, began + 4 * CQ_US_PER_S);
   loop_arm (st->loop, &over, began + 8 * CQ_US_PER_S);
   loop_run (st->loop);
-  /* Loading takes longer than this test. */
+  /* A load takes longer than this test. */
   g_assert_cmpint (count_accepted (st), >=, 1);
   g_assert_cmpint (count_accepted (st), <=, 4);
   stage_free (st);
 }
 
 static bool
-is_quiet (const struct stage *st)
+has_no_pending_calls (const struct stage *st)
 {
   return orders_pending_calls (st->orders) == 0;
 }
 
 /*
- * The store answers after 0.4 s, as long as orders are announced ahead.  Each
- * announcement would be over when its answer comes, and no endpoint would ever
- * change its weights.
+ * The store answers after 0.4 s, which is the length of the window for orders.
+ * If the window did not account for that, it would be over when the answer
+ * comes, and no endpoint would ever change its weights.
  */
 static void
 test_slow_store (void)
@@ -914,10 +930,10 @@
   struct stage *st = stage_new ();
 
   st->slow_us = 400 * MS;
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
-  wait_until (st, is_quiet);
+  wait_until (st, has_no_pending_calls);
   stage_free (st);
 }
 
@@ -934,33 +950,34 @@
 }
 
 /*
- * The store is slow, so orders are announced far ahead; then it is fast, and
- * the next announcement ends sooner.  Until that one is acknowledged the
- * holder goes by the one before.  If the answer is lost, it orders for longer
- * than the row says, and the orders of its successor, which waits by the row,
- * come too soon after.
+ * The store is slow, so the window for orders is long; then it is fast, and
+ * the next window would end sooner.  Until that write is acknowledged, the
+ * holder goes by the earlier window.  If its answer were lost, the holder
+ * would order for longer than the row says, and its successor, which waits by
+ * the row, would order too soon.
  */
 static void
-test_announced_stays (void)
+test_window_not_shortened (void)
 {
   struct stage *st = stage_new ();
 
-  st->mute = true;
+  st->ignore_queries = true;
   st->slow_us = 400 * MS;
-  name_version (st);
+  announce_version (st);
   wait_until (st, wrote_three);
   st->slow_us = 0;
   wait_until (st, wrote_five);
-  /* Not an assertion, which would end the tests after this one too. */
-  if (st->lowered)
+  /* Not an assertion, which would also end the tests after this one. */
+  if (st->window_shortened)
     g_test_fail ();
   stage_free (st);
 }
 
 /*
  * Another VM holds the lease and is frozen: it gives no orders and does not
- * renew.  Its successor takes over when the lease has ended, and orders only
- * after the gap, when none of the other's orders can be on its way.
+ * renew the lease.  Its successor takes over when the lease has expired, and
+ * gives orders only after the gap, when no order of the other VM can still be
+ * in flight.
  */
 static void
 test_successor_waits (void)
@@ -971,8 +988,8 @@
   st->row = row ("other/1", expires);
   st->row.order_until_ms = expires;
   st->row_version = 5;
-  name_version (st);
-  wait_until (st, row_is_ours);
+  announce_version (st);
+  wait_until (st, is_row_own);
   g_assert_cmpint (store_ms (st), >=, expires);
   g_assert_cmpint (st->orders_sent, ==, 0);
   wait_until (st, is_released);
@@ -994,33 +1011,34 @@
 }
 
 /*
- * Version 3 is named while an endpoint loads 2.  When that is done it is
- * ordered again at once: waiting as after an order without an answer, it would
- * stand with weights that are outdated for two and a half seconds more.
+ * Version 3 is announced while an endpoint loads 2.  When that is done, it is
+ * ordered again at once.  With the delay that applies after an order without
+ * an answer, it would keep outdated weights for two and a half seconds more.
  */
 static void
-test_named_while_loading (void)
+test_announced_while_loading (void)
 {
   struct stage *st = stage_new ();
 
   st->hold_busy = true;
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_busy);
   fleet_take_wanted (&st->fleet, "m", 3, loop_now_us (), loop_now_us ());
   st->busy = false;
   st->version = 2;
   st->hold_busy = false;
-  st->asked = 0;
+  st->queries = 0;
   wait_until (st, has_newest);
-  /* Once to see that it is done, once before the order. */
-  g_assert_cmpint (st->asked, <=, 3);
+  /* One query to see that it is done, one before the order. */
+  g_assert_cmpint (st->queries, <=, 3);
   stage_free (st);
 }
 
 /*
- * The holder that is cut off gave its last order two seconds ago and announced
- * no more.  Its lease has to end, but the gap counts from that order: an
- * endpoint idle for longer is a place less for callers.
+ * The holder lost its connection; its last order was two seconds ago, and its
+ * window is over.  Its lease has to expire, but the gap counts from that
+ * order, because an endpoint that is idle for longer reduces the capacity for
+ * callers.
  */
 static void
 test_successor_waits_for_orders (void)
@@ -1031,7 +1049,7 @@
   st->row = row ("other/1", now + 300);
   st->row.order_until_ms = now - 2000;
   st->row_version = 5;
-  name_version (st);
+  announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
   g_assert_cmpint (st->row.order_until_ms, >=, now - 2000 + GAP_MS);
@@ -1039,30 +1057,30 @@
   stage_free (st);
 }
 
-/* A planned stop lets the lease go at once, so that the next VM need not wait
-   for its end. */
+/* A planned stop releases the lease at once, so that the next VM need not wait
+   until it expires. */
 static void
 test_stop_releases (void)
 {
   struct stage *st = stage_new ();
 
   st->busy = true;
-  name_version (st);
-  wait_until (st, row_is_ours);
+  announce_version (st);
+  wait_until (st, is_row_own);
   orders_stop (st->orders);
   g_assert_true (st->row.released);
   stage_free (st);
 }
 
 /*
- * Version 2 is named, ten seconds later version 3, and a VM starts then: it
- * hears of 3 only, since the operator's row holds the newest one.  Its
- * endpoint has version 1, which is outdated since 2 was named; the lease's
- * row tells so.  Counted from when 3 was named, callers get answers by weights
- * that have been outdated for 19 s.
+ * Version 2 is announced, ten seconds later version 3, and a VM starts then.
+ * It sees only 3, since the operator's row holds the newest one.  Its endpoint
+ * has version 1, outdated since the announcement of 2, which the lease's row
+ * contains.  Counted from the announcement of 3, callers would get answers by
+ * weights that have been outdated for 19 s.
  */
 static void
-test_older_naming (void)
+test_older_announcement (void)
 {
   struct stage *st = stage_new ();
   int64_t now = loop_now_us ();
@@ -1080,7 +1098,7 @@
   orders_check (st->orders, now);
   g_assert_true (
       fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
-  /* What has version 2 already is outdated since 3 was named. */
+  /* An endpoint with version 2 is outdated since 3 was announced. */
   fleet_take_version (APR_RING_FIRST (&st->fleet.endpoints), 2, FLEET_NEVER,
                       loop_now_us ());
   g_assert_false (
@@ -1095,22 +1113,22 @@
 }
 
 /*
- * A version is named while no endpoint is listed: all of the service's have
- * crashed.  Nobody has anything to order, so nobody writes the row.  Some
- * seconds later a VM starts, and the endpoints come back with their old
- * weights.  It must not take the naming for a later one than it was.
+ * A version is announced while no endpoint is listed, because all of the
+ * service's have crashed.  No VM has an order to give, so none writes the row.
+ * Some seconds later a VM starts, and the endpoints come back with their old
+ * weights.  It must not date the announcement later than it was made.
  */
 static void
-test_named_without_endpoints (void)
+test_announced_without_endpoints (void)
 {
   struct stage *running = stage_new ();
   struct stage *started = stage_new ();
-  int64_t named_us = loop_now_us ();
+  int64_t announced_us = loop_now_us ();
   int64_t now;
 
   APR_RING_FIRST (&running->fleet.endpoints)->draining = true;
-  name_version (running);
-  running->later_us = named_us + 3200 * MS;
+  announce_version (running);
+  running->later_us = announced_us + 3200 * MS;
   wait_until (running, is_later);
   started->row = running->row;
   started->row_version = running->row_version;
@@ -1119,12 +1137,12 @@
   now = loop_now_us ();
   g_assert_true (fleet_outdated_for (
       &started->fleet, APR_RING_FIRST (&started->fleet.endpoints),
-      now - named_us, now));
+      now - announced_us, now));
   stage_free (started);
   stage_free (running);
 }
 
-/* Guards against notices that are heard only in answers to requests. */
+/* Guards against notices that are read only from answers to requests. */
 static void
 test_notices (void)
 {
@@ -1132,7 +1150,7 @@
   const struct fleet_endpoint *e = g_hash_table_lookup (st->fleet.by_id, "e");
 
   st->in_report = (struct notice){ .limit_said = true, .limit_milli = 5000 };
-  name_version (st);
+  announce_version (st);
   wait_until (st, was_sent);
   g_assert_true (e->limit.named);
   g_assert_cmpint (e->limit.milli, ==, 5000);
@@ -1141,10 +1159,10 @@
   st = stage_new ();
   e = g_hash_table_lookup (st->fleet.by_id, "e");
   st->in_order = (struct notice){ .limit_said = true, .limit_milli = 4000 };
-  name_version (st);
+  announce_version (st);
   wait_until (st, was_sent);
   g_assert_true (e->limit.named);
-  /* A report need not name what stands. */
+  /* A report need not repeat a notice that is in force. */
   wait_until (st, is_released);
   g_assert_cmpint (e->limit.milli, ==, 4000);
   g_assert_true (e->limit.named);
@@ -1155,33 +1173,35 @@
   { "/lease/clock", test_clock },
   { "/lease/no-overlap", test_no_overlap },
   { "/lease/released", test_released },
-  { "/orders/whole", test_orders },
+  { "/orders/complete", test_orders },
   { "/orders/unknown", test_order_unknown },
   { "/orders/restart-while-loading", test_restart_while_loading },
-  { "/orders/report-of-life-before", test_report_of_life_before },
+  { "/orders/report-of-previous-incarnation",
+    test_report_of_previous_incarnation },
   { "/orders/report-without-start", test_report_without_start },
   { "/orders/weights-fell", test_weights_fell },
-  { "/orders/naming-recorded", test_naming_recorded },
-  { "/orders/naming-unrecorded", test_naming_unrecorded },
-  { "/orders/question-takes-nothing", test_question_takes_nothing },
-  { "/orders/naming-heard", test_naming_heard },
-  { "/orders/naming-written", test_naming_written },
-  { "/orders/unanswered-hold-no-place", test_unanswered_hold_no_place },
-  { "/orders/naming-between-unheard", test_naming_between_unheard },
-  { "/orders/naming-between-cut-off", test_naming_between_cut_off },
-  { "/orders/naming-not-crowded-out", test_naming_not_crowded_out },
-  { "/orders/naming-not-after-heard", test_naming_not_after_heard },
-  { "/orders/naming-heard-long-ago", test_naming_heard_long_ago },
-  { "/orders/naming-recorded-later", test_naming_recorded_later },
-  { "/orders/lost-orders-keep-width", test_lost_orders_keep_width },
+  { "/orders/announcement-recorded", test_announcement_recorded },
+  { "/orders/announcement-unrecorded", test_announcement_unrecorded },
+  { "/orders/uncertain-read-only", test_uncertain_read_only },
+  { "/orders/announcement-seen", test_announcement_seen },
+  { "/orders/announcement-written", test_announcement_written },
+  { "/orders/unanswered-not-counted", test_unanswered_not_counted },
+  { "/orders/announcement-between-unseen", test_announcement_between_unseen },
+  { "/orders/announcement-between-disconnected",
+    test_announcement_between_disconnected },
+  { "/orders/announcement-not-displaced", test_announcement_not_displaced },
+  { "/orders/announcement-not-after-seen", test_announcement_not_after_seen },
+  { "/orders/announcement-seen-long-ago", test_announcement_seen_long_ago },
+  { "/orders/announcement-recorded-later", test_announcement_recorded_later },
+  { "/orders/lost-orders-keep-limit", test_lost_orders_keep_limit },
   { "/orders/slow-store", test_slow_store },
-  { "/orders/announced-stays", test_announced_stays },
+  { "/orders/window-not-shortened", test_window_not_shortened },
   { "/orders/successor-waits", test_successor_waits },
-  { "/orders/named-while-loading", test_named_while_loading },
+  { "/orders/announced-while-loading", test_announced_while_loading },
   { "/orders/successor-waits-for-orders", test_successor_waits_for_orders },
   { "/orders/stop-releases", test_stop_releases },
   { "/orders/notices", test_notices },
-  { "/orders/older-naming", test_older_naming },
-  { "/orders/named-without-endpoints", test_named_without_endpoints },
+  { "/orders/older-announcement", test_older_announcement },
+  { "/orders/announced-without-endpoints", test_announced_without_endpoints },
   { NULL, NULL },
 };
