--- a/regress/darknaming.sh
+++ b/regress/darknaming.sh
@@ -1,12 +1,14 @@
-# Newer weights are named just when all VMs lose power, so none hears of it and
-# none records it.  They are back seven seconds later, take the naming for
-# three seconds old, and callers get answers made by old weights after the
-# bound.  What nobody recorded may be as old as the VMs were away.
+# Guards against outdated weights after all VMs were down at once.  Newer
+# weights are announced just when all VMs lose power, so none sees the
+# announcement and none records it.  VMs that start seven seconds later must
+# not take it for three seconds old, and so answer by old weights after the
+# bound.  An announcement that nobody recorded may be as old as the time for
+# which the VMs were down.
 . ./lib.sh || exit 1
 . ./site.sh
-# Old weights take work until three seconds before this bound.
+# Outdated weights are used until three seconds before this bound.
 version_ms=9000 lease_ms=500
-named() { grep -q 'event=weights_named' "$tmp/$1.log"; }
+announced() { grep -q 'event=weights_named' "$tmp/$1.log"; }
 since() { echo $(($(date +%s%3N) - t0)); }
 until_ms() { while [ "$(since)" -lt "$1" ]; do sleep 0.05; done; }
 
@@ -23,7 +25,7 @@
 until_ms 7000
 entry b
 wait_for is_ready b
-wait_for named b
+wait_for announced b
 until_ms 9300
 ask b /tell/x -d p
 echo "old runs: $(grep 'event=ran' "$tmp/e.err" | grep -c 'Version=1')"
--- a/regress/lives.sh
+++ b/regress/lives.sh
@@ -1,8 +1,9 @@
-# Endpoints that start again under their id, and rows of other writers.  Callers
-# see an endpoint that left and is back serve at once, weights that fell back
-# put right, and nothing of rows that name no endpoint.  In order: an endpoint
-# drains, ends and is back; an order to a life before comes when the next life
-# counts its orders anew; spoiled rows stand between good ones.
+# Endpoints that restart under their id, and rows of other writers.  Callers
+# must see an endpoint that left and is back serve at once, weights that
+# returned to an older version corrected, and no effect of rows that name no
+# endpoint.  In order: an endpoint drains, ends and is back; an order to an
+# earlier incarnation arrives when the next one counts its orders from zero;
+# invalid rows stand between valid ones.
 . ./lib.sh || exit 1
 . ./site.sh
 lease_ms=500
@@ -26,13 +27,13 @@
 ask a /safe/x
 grep -c 'endpoint=i-p outcome=started_again_ready .*born_ms=2000 before_ms=1000 source=list' "$tmp/a.log"
 
-echo "== a heartbeat of the life before comes late"
+echo "== a heartbeat of the earlier incarnation arrives late"
 list_server p app "" "" draining 1000
 wait_for has_event a 'endpoint=i-p outcome=passed_over reason=life_older'
 ask a /safe/x
 list_server p app "" "" ready 2000
 
-echo "== an order to the life before comes when orders are counted anew"
+echo "== an order to the earlier incarnation arrives when orders are counted from zero"
 server e llm m 1
 control e '{"born":1000,"events":2,"late_order":1,"late_ms":6000,"load_ms":10}'
 list_server e llm m 1 ready 1000
@@ -48,11 +49,11 @@
 echo "answered with version 3"
 late() { [ "$(grep -c 'event=order.*version=2 .*status=202' "$tmp/e.err")" = 2 ]; }
 wait_for late
-echo "weights fell back to version 2"
+echo "weights returned to version 2"
 WAIT_BOUND=20 want=200 wait_for status_is a /tell/x -d p
 [ "$(grep -c 'event=order.*version=3 .*status=202' "$tmp/e.err")" = 2 ] && echo "ordered again, and answered with version 3"
 
-echo "== rows of other writers between good ones"
+echo "== rows of other writers between valid ones"
 server q app
 drop_row servers i-q
 eval "at=127.0.0.1:$port_q"
@@ -69,7 +70,7 @@
 sleep 2.5
 for i in 1 2 3 4 5 6 7 8; do id=s$i ask a /safe/x; done | sort | uniq -c | tr -s ' '
 key=k2 ask a /safe/x
-echo "the spoiled rows' address got $(cat "$tmp/q.err" | grep -c -e event=ran -e event=order)"
+echo "the invalid rows' address got $(cat "$tmp/q.err" | grep -c -e event=ran -e event=order)"
 sed -n 's/.*event=rows_left_out .*reason=\([a-z0-9_]*\).*/left out/p' "$tmp/a.log" | sort -u
 
 echo "== a VM that starts among them reads the whole list"
@@ -78,9 +79,9 @@
 for i in 1 2 3 4 5 6 7 8; do id=t$i ask b /safe/x; done | sort | uniq -c | tr -s ' '
 id=t9 ask b /tell/x -d p
 sed -n 's/.*event=rows_left_out .*source=endpoints rows=\([0-9]*\) .*/rows left out: \1/p' "$tmp/b.log" | sort -u
-echo "the spoiled rows' address got $(cat "$tmp/q.err" | grep -c -e event=ran -e event=order)"
+echo "the invalid rows' address got $(cat "$tmp/q.err" | grep -c -e event=ran -e event=order)"
 
-echo "== an endpoint's own entry is spoiled, until it writes again"
+echo "== an endpoint's own entry is invalid until it writes again"
 row servers i-p '{"Service":"app"}'
 wait_for has_event a 'endpoint=i-p outcome=removed reason=spoiled'
 ask a /safe/x
--- a/regress/modelburst.sh
+++ b/regress/modelburst.sh
@@ -1,7 +1,7 @@
-# Callers get answers made by old weights longer after a newer version was named
-# than they may.  A second version is named before the first is in place, and a
-# VM starts after that, or one that runs missed an answer: it hears only of the
-# second, and counts the grace of weights that the first one outdated from
-# there.  The row has both, but only what the VM heard itself was looked up.
+# Guards against answers by outdated weights for longer than allowed.  A second
+# version is announced before the first is in place, and a VM starts after
+# that, or a running one missed an answer.  It sees only the second, and must
+# not count the time for which weights outdated by the first are accepted from
+# there: the row contains both.
 model=${CQ_MODEL:-./model}
 $model burst | sed 's/ runs=[0-9]* states=[0-9]*//'
--- a/regress/oldercopy.sh
+++ b/regress/oldercopy.sh
@@ -1,8 +1,8 @@
-# The platform's store comes back from a copy some seconds old, while a VM is
-# turned away.  Callers with a key that was taken away since go on being served,
-# and callers with a new key are refused, for good: the store's versions went
-# back and were given out again, the VM goes on after a version of the time
-# before, and never hears of what lies between.
+# The platform's store is restored from a copy that is some seconds old, while
+# it rejects a VM's requests.  Guards against a VM that keeps serving callers
+# whose key was revoked since, and refuses callers with a new key: the store's
+# versions went back and were assigned again, so a VM that continued after its
+# last version would never receive the changes in between.
 . ./lib.sh || exit 1
 . ./site.sh
 revoke_ms=3000
@@ -17,7 +17,7 @@
 wait_for is_ready a
 ask a /safe/x
 
-echo "== a copy is kept; the store goes on, and the VM with it"
+echo "== a copy is kept; the store and the VM go on"
 control rows '{"keep_copy":1}'
 while [ "$(grep -c 'event=ran.*boom' "$tmp/q.err")" = 0 ] && kill -0 "$pid_q" 2>/dev/null; do ask a /once/x -d boom >/dev/null; done
 row_of_a() { curl -s --noproxy '*' "http://127.0.0.1:$port_rows/rows-get?Table=camphorquay_crashes&part=" | grep -c '"Key":"vm/a"'; }
@@ -31,7 +31,7 @@
 row op config "$(site_conf 4 '"k1"')"
 wait_for has_line "$tmp/a.log" 'event=conf outcome=in_force conf=4'
 
-echo "== the copy is all there is; the operator writes again, and goes on"
+echo "== the store is restored from the copy; the operator writes again and goes on"
 control rows '{"turn_away":503}'
 wait_for has_line "$tmp/a.log" 'source=operator outcome=lost reason=refused'
 control rows '{"older_copy":1}'
@@ -45,9 +45,9 @@
 sleep 5
 key=k1 ask a /safe/x
 key=k2 ask a /safe/x
-echo "== and what the VM had written is written again"
+echo "== the VM writes its own rows again"
 wait_for has_row
 echo there
-echo "== also that a VM is there which started since the copy"
+echo "== also the entry of a VM that started after the copy"
 wait_for is_listed
 echo there
--- a/regress/stalenew.sh
+++ b/regress/stalenew.sh
@@ -1,7 +1,7 @@
-# The table is out of reach, and settings count as stale: a VM must not serve
-# by them, since what it has may have been taken back.  Another VM starts then
-# and takes its settings from the first one; it knows no more than that, but
-# counted its settings as confirmed when it started.
+# Guards against stale settings on a new VM.  The table is unreachable and
+# settings count as stale, so a VM must not serve by them, since permissions in
+# them may have been revoked.  Another VM starts then and takes its settings
+# from the first one.  It must not count them as confirmed at its own start.
 . ./lib.sh || exit 1
 . ./vms.sh
 vms_base
