--- a/regress/model.c
+++ b/regress/model.c
@@ -1,11 +1,12 @@
 /*
- * The search of the model check: model [-a] [-v] [-f N]
- * lease|namings|burst|keys|lives [CASE]
+ * The search of the model checker: model [-a] [-v] [-f N]
+ * lease|announcements|burst|keys|restarts [CASE]
  *
  * Prints a line for each safeguard that is switched off: whether the search
  * finds a run that breaks a property, after how many runs and states, and the
- * steps of that run.  With -v also what happened in it; -f allows N faults in
- * a run; -a goes on after a run that fails, and tells how many did.
+ * steps of that run.  With -v it also prints what happened in that run; -f
+ * allows N faults in a run; -a continues after a run that fails and counts the
+ * failed runs.
  */
 #include "model.h"
 
@@ -18,30 +19,30 @@
 
 #define MAX_CHOICES 1024 /* of one run */
 
-/* One answer to "what happens here?". */
+/* One answer to the question what happens at a step. */
 struct choice
 {
-  int taken; /* this time */
-  int ways;  /* there are */
+  int taken; /* the alternative of this run */
+  int ways;  /* number of alternatives */
 };
 
-/* The search. */
+/* State of the search. */
 struct search
 {
-  struct choice choices[MAX_CHOICES]; /* of the run, in order */
-  int nchoices;                       /* asked for so far */
-  int planned;                        /* taken over from the plan */
-  int faults;                         /* that the run may still have */
-  int most;                           /* in a run, in place of the case's */
-  int64_t runs;                       /* so far */
-  int64_t states;                     /* over all runs */
-  int64_t steps;                      /* of this run */
-  bool all;                           /* go on after the first that fails */
-  int64_t failed;                     /* runs that broke a property */
-  int64_t worst;                      /* of their figures */
-  const char *broken;                 /* property, or NULL */
-  int64_t figure;                     /* by how much */
-  GString *notes;                     /* of this run */
+  struct choice choices[MAX_CHOICES]; /* choices of the run, in order */
+  int nchoices;                       /* choices made so far */
+  int planned;                        /* choices that the plan fixes */
+  int faults;                         /* faults that the run may still have */
+  int most;           /* maximum of faults by -f; 0: the case's */
+  int64_t runs;       /* runs so far */
+  int64_t states;     /* states reached in all runs */
+  int64_t steps;      /* of this run */
+  bool all;           /* continue after the first run that fails */
+  int64_t failed;     /* runs that broke a property */
+  int64_t worst;      /* worst figure of these runs */
+  const char *broken; /* the broken property, or NULL */
+  int64_t figure;     /* by how much it was broken */
+  GString *notes;     /* of this run */
 };
 
 static struct search search;
@@ -105,7 +106,7 @@
   va_end (ap);
 }
 
-/* The next plan, or false if all were played. */
+/* Plans the next run; returns false if all were done. */
 static bool
 plan_next (void)
 {
@@ -123,7 +124,7 @@
 }
 
 static void
-play (const struct model_case *model, int faults)
+run_case (const struct model_case *model, int faults)
 {
   search.nchoices = 0;
   search.faults = faults;
@@ -150,7 +151,7 @@
 {
   search.planned = 0;
   do
-    play (model, faults);
+    run_case (model, faults);
   while (search.broken == NULL && plan_next ());
 }
 
@@ -160,7 +161,8 @@
   return search.most > 0 ? search.most : model->faults;
 }
 
-/* A safeguard that is missed shows first in a run with few faults. */
+/* If a switched-off safeguard matters, that shows first in a run with few
+   faults. */
 static void
 search_all (const struct model_case *model)
 {
@@ -176,7 +178,7 @@
 }
 
 static void
-tell (const struct model_case *model)
+print_result (const struct model_case *model)
 {
   printf ("%s: faults<=%d runs=%" G_GINT64_FORMAT " states=%" G_GINT64_FORMAT,
           model->name, most_faults (model), (gint64)search.runs,
@@ -200,11 +202,11 @@
 {
   if (strcmp (name, "lease") == 0)
     return model_lease_cases;
-  if (strcmp (name, "namings") == 0)
+  if (strcmp (name, "announcements") == 0)
     return model_named_cases;
   if (strcmp (name, "burst") == 0)
     return model_burst_cases;
-  if (strcmp (name, "lives") == 0)
+  if (strcmp (name, "restarts") == 0)
     return model_lives_cases;
   return strcmp (name, "keys") == 0 ? model_keys_cases : NULL;
 }
@@ -228,9 +230,9 @@
   m = optind < argc ? cases_of (argv[optind]) : NULL;
   if (m == NULL)
     {
-      fprintf (stderr,
-               "usage: model [-a] [-v] [-f N] lease|namings|burst|keys|lives "
-               "[CASE]\n");
+      fprintf (stderr, "usage: model [-a] [-v] [-f N] "
+                       "lease|announcements|burst|keys|restarts "
+                       "[CASE]\n");
       return 2;
     }
   only = optind + 1 < argc ? argv[optind + 1] : NULL;
@@ -238,7 +240,7 @@
     if (only == NULL || strcmp (only, m->name) == 0)
       {
         search_all (m);
-        tell (m);
+        print_result (m);
       }
   if (search.notes != NULL)
     g_string_free (search.notes, TRUE);
--- a/regress/model.h
+++ b/regress/model.h
@@ -1,8 +1,8 @@
 /*
- * A small model check.  Whole runs of the deciding code in played time, over
- * all ways in which a few things may go wrong: a run asks at each step what
- * happens there, and the search plays it again with the next answer until
- * none is left.
+ * A small model checker.  It runs the deciding code in simulated time, over
+ * all ways in which a few things may go wrong.  A run asks at each step what
+ * happens there, and the search repeats it with the next answer until none is
+ * left.
  */
 #ifndef CQ_MODEL_H
 #define CQ_MODEL_H
@@ -10,33 +10,35 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One search. */
+/* One case of a search. */
 struct model_case
 {
-  const char *name;                             /* as printed */
-  void (*run) (const struct model_case *model); /* one run */
-  unsigned off;                                 /* safeguards switched off */
-  int faults;                                   /* of one run, at most */
-  int vms;                                      /* that take part */
+  const char *name;                             /* name in the output */
+  void (*run) (const struct model_case *model); /* executes one run */
+  unsigned off; /* safeguards that are switched off */
+  int faults;   /* maximum number of faults in a run */
+  int vms;      /* number of VMs */
 };
 
-/* Ends with a case without a name. */
+/* Each list ends with a case without a name. */
 extern const struct model_case model_lease_cases[];
 extern const struct model_case model_named_cases[];
 extern const struct model_case model_burst_cases[];
 extern const struct model_case model_keys_cases[];
 extern const struct model_case model_lives_cases[];
 
-/* One of N ways, all of them in turn. */
+/* Returns one of N alternatives; the search tries all of them in turn. */
 int model_pick (int n);
-/* Likewise, but any other than the first is a fault, and a run has few. */
+/* Likewise, but each alternative except the first is a fault, and a run may
+   have only a few. */
 int model_fault (int n);
-/* Something happened: a state was reached. */
+/* Counts a state that was reached. */
 void model_step (void);
-/* A property does not hold; the rest of the run does not count. */
+/* Reports that a property does not hold; the rest of the run is ignored. */
 void model_fail (const char *what, int64_t figure);
 bool model_has_failed (void);
-/* What a run was about, for the trace of the first one that fails. */
+/* Adds a line to the trace of the run, which is printed for the first one that
+   fails. */
 void model_note (const char *fmt, ...) __attribute__ ((format (printf, 1, 2)));
 
 #endif
--- a/regress/model.sh
+++ b/regress/model.sh
@@ -7,7 +7,7 @@
 model=${CQ_MODEL:-./model}
 echo "== lease and orders, without:"
 $model lease
-echo "== namings of weights, without:"
-$model namings
-echo "== keys that are taken away, without:"
+echo "== announcements of weights, without:"
+$model announcements
+echo "== revoked keys, without:"
 $model keys
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -1,12 +1,12 @@
 /*
- * Model check of keys, and of evacuations: how long a key that was taken away
- * opens something, and a domain that is evacuated gets something.
+ * Model check of keys and of evacuations: how long a revoked key is still
+ * accepted, and a domain that is evacuated still gets requests.
  *
- * A VM follows the operator's table with the real follow, and asks before each
- * first byte as requests that are passed on do.  Answers are lost, given late
- * or on their way for long; the VM stands still before a call and after it;
- * the key is taken away at any moment.  No byte may leave later than the bound
- * after that.  Where nothing goes wrong, knowledge is never too old.
+ * A VM follows the operator's table with the real follow module, and checks
+ * before each first byte as relayed requests do.  Answers are lost, given late
+ * or delayed in the network; the VM is frozen before a call and after it; the
+ * key is revoked at any moment.  No byte may leave later than the bound after
+ * that.  Without faults, the VM's settings are never too old.
  */
 #include <string.h>
 
@@ -14,48 +14,50 @@
 #include "modelworld.h"
 
 /* Shorter than the usual five seconds, so that three lost calls reach it. */
-#define DOMAIN "east" /* that is evacuated */
+#define DOMAIN "east" /* domain that is evacuated */
 #define BOUND_US (4500 * MS)
 #define MARGIN_US (300 * MS)  /* as entry.c has it */
-#define BYTE_US (250 * MS)    /* from the last look to the first byte */
-#define HELD_US (600 * MS)    /* a request waits in the VM */
+#define BYTE_US (250 * MS)    /* from the last check to the first byte */
+#define HELD_US (600 * MS)    /* how long a request waits in the VM */
 #define REQUEST_US (100 * MS) /* between requests */
-#define TRAVEL_US (2 * MS)    /* of a call, one way */
+#define TRAVEL_US (2 * MS)    /* duration of a call, one way */
 #define READ_LATE_US (800 * MS)
 #define POLL_LATE_US (400 * MS)
-#define POLL_SILENT_US (500 * MS) /* over a poll's wait */
-#define SETTLED_US (3000 * MS)    /* before the key may be taken away */
+#define POLL_SILENT_US (500 * MS) /* how much longer than a poll's wait */
+#define SETTLED_US (3000 * MS)    /* before the key may be revoked */
 #define RUN_US (9000 * MS)
 
 /* Safeguards that a case may switch off, and what it may add. */
 enum keys_off
 {
-  OFF_AGE = 1,       /* knowledge that is too old opens nothing */
-  OFF_GIVEN = 2,     /* it is as old as its answer, not as its arrival */
-  OFF_LOOK = 4,      /* it is looked at again before the first byte */
-  OFF_MARGIN = 8,    /* that look is early enough for the byte to leave */
+  OFF_AGE = 1,    /* settings that are too old admit nothing */
+  OFF_GIVEN = 2,  /* their age counts from the answer, not from its arrival */
+  OFF_LOOK = 4,   /* the age is checked again before the first byte */
+  OFF_MARGIN = 8, /* that check leaves enough time for the byte to leave */
   WITH_JUMPS = 1024, /* the platform's clock may jump */
-  EVACUATION = 2048  /* a domain is evacuated, and no key is taken away */
+  EVACUATION = 2048  /* a domain is evacuated, and no key is revoked */
 };
 
-/* A call of the VM at the store. */
+/* What may happen to a call of the VM to the store. */
 enum keys_way
 {
-  CALL_LOST = 1,    /* its answer */
+  CALL_LOST = 1,    /* the answer is lost */
   CALL_HELD,        /* it is answered late */
-  CALL_ON_WAY,      /* its answer is on its way for long */
-  CALL_AFTER_SHORT, /* the VM stands still before it leaves */
-  CALL_AFTER_LONG,  /* likewise */
-  CALL_THEN_FREEZE, /* the VM stands still once it has left */
+  CALL_ON_WAY,      /* its answer is delayed in the network */
+  CALL_AFTER_SHORT, /* the VM is frozen for a short time before the call is
+                       sent */
+  CALL_AFTER_LONG,  /* the VM is frozen for a long time before the call is sent
+                     */
+  CALL_THEN_FREEZE, /* the VM is frozen after the call was sent */
   CALL_WAYS
 };
 
-static int64_t revoked_us;       /* the key is taken away then */
-static int64_t jump_us;          /* the platform's clock is ahead by so much */
-static bool faulty;              /* something went wrong in this run */
-static struct relays relays;     /* of the VM */
-static struct fleet_route keyed; /* a route that wants a key */
-static struct fleet_workspace holder; /* of both keys */
+static int64_t revoked_us;       /* when the key is revoked */
+static int64_t jump_us;          /* how far the platform's clock is ahead */
+static bool faulty;              /* a fault occurred in this run */
+static struct relays relays;     /* relays of the VM */
+static struct fleet_route keyed; /* a route that requires a key */
+static struct fleet_workspace holder; /* workspace of both keys */
 
 /* --- the store ------------------------------------------------------- */
 
@@ -78,7 +80,7 @@
   return c;
 }
 
-/* Version 2 of what the operator says. */
+/* The item of version 2 of the operator's table. */
 static struct news_item
 second_item (void)
 {
@@ -94,9 +96,9 @@
   return it;
 }
 
-/* The answer as it was given: all that is newer than was asked for. */
+/* Delivers an answer as it was given: everything newer than was asked for. */
 static void
-tell (struct event *e)
+deliver_answer (struct event *e)
 {
   struct news_item it = { .kind = NEWS_CONF, .row = 1 };
   g_autoptr (GArray) items = g_array_new (FALSE, TRUE, sizeof it);
@@ -121,9 +123,9 @@
 }
 
 static void
-give (struct event *e)
+schedule_answer (struct event *e)
 {
-  struct event *a = world_at (world.now_us + e->late_us, 0, tell);
+  struct event *a = world_at (world.now_us + e->late_us, 0, deliver_answer);
 
   a->news = e->news;
   a->arg = e->arg;
@@ -173,14 +175,14 @@
   freeze (way);
   if (way == CALL_LOST)
     {
-      e = world_at (world.now_us + timeout_us, 0, tell);
+      e = world_at (world.now_us + timeout_us, 0, deliver_answer);
       e->reply.code = LEASE_UNKNOWN;
     }
   else
     {
       int64_t late = wait_us > 0 ? POLL_LATE_US : READ_LATE_US;
 
-      e = world_at (answered_at (after, wait_us), -1, give);
+      e = world_at (answered_at (after, wait_us), -1, schedule_answer);
       if (way == CALL_HELD)
         e->at_us += late;
       e->late_us = way == CALL_ON_WAY ? late : TRAVEL_US;
@@ -211,7 +213,7 @@
 /* --- requests -------------------------------------------------------- */
 
 static bool
-opens (void)
+is_admitted (void)
 {
   struct fleet *f = &world.vms[0].fleet;
   struct relay r = { .rs = &relays, .route = &keyed };
@@ -220,7 +222,7 @@
   if (f->conf == NULL)
     return false;
   if (!faulty && relay_is_stale (&r, world.now_us))
-    model_fail ("knowledge too old though all went well", 0);
+    model_fail ("settings too old without a fault", 0);
   return !relay_is_stale (&r, world.now_us) && !relay_key_is_gone (&r)
          && !fleet_is_evacuated (f, DOMAIN);
 }
@@ -230,14 +232,14 @@
 send_on (struct event *e)
 {
   (void)e;
-  if (world_is_off (OFF_LOOK) || opens ())
+  if (world_is_off (OFF_LOOK) || is_admitted ())
     {
       int64_t late = world.now_us + BYTE_US - revoked_us - BOUND_US;
 
       if (late > 0)
         model_fail (world_is_off (EVACUATION)
                         ? "an evacuated domain gets a request"
-                        : "a key opens what it must not",
+                        : "a key is_admitted what it must not",
                     late / MS);
     }
 }
@@ -246,7 +248,7 @@
 arrive (struct event *e)
 {
   (void)e;
-  if (opens ())
+  if (is_admitted ())
     world_at (world.now_us + HELD_US, 0, send_on);
   world_at (world.now_us + REQUEST_US, 0, arrive);
 }
@@ -274,7 +276,7 @@
   o.ops.ctx = v;
   o.changed = changed;
   o.arg = v;
-  /* Polls wait their longest. */
+  /* Polls wait for the maximum time. */
   o.current_us = 3000 * MS;
   v->follow = follow_new (&o);
   relays.opts.fleet = &v->fleet;
@@ -339,16 +341,17 @@
 const struct model_case model_keys_cases[] = {
   { "nothing", run, 0, 2, 1 },
   { "nothing, and the platform's clock jumps", run, WITH_JUMPS, 2, 1 },
-  { "knowledge that is too old opens nothing", run, OFF_AGE, 2, 1 },
-  { "it is as old as its answer, not its arrival", run, OFF_GIVEN, 2, 1 },
-  { "a look at it before the first byte", run, OFF_LOOK, 2, 1 },
+  { "knowledge that is too old is_admitted nothing", run, OFF_AGE, 2, 1 },
+  { "their age counts from the answer, not its arrival", run, OFF_GIVEN, 2,
+    1 },
+  { "a check before the first byte", run, OFF_LOOK, 2, 1 },
   { "a margin for that byte to leave", run, OFF_MARGIN, 3, 1 },
   { "nothing, and a domain is evacuated", run, EVACUATION, 2, 1 },
-  { "likewise, knowledge that is too old opens nothing", run,
+  { "likewise, knowledge that is too old is_admitted nothing", run,
     EVACUATION | OFF_AGE, 2, 1 },
-  { "likewise, it is as old as its answer", run, EVACUATION | OFF_GIVEN, 2,
-    1 },
-  { "likewise, a look at it before the first byte", run, EVACUATION | OFF_LOOK,
+  { "likewise, their age counts from the answer", run, EVACUATION | OFF_GIVEN,
     2, 1 },
+  { "likewise, a check before the first byte", run, EVACUATION | OFF_LOOK, 2,
+    1 },
   { NULL, NULL, 0, 0, 0 },
 };
--- a/regress/modellives.c
+++ b/regress/modellives.c
@@ -1,24 +1,26 @@
 /*
- * Model check of lives: what endpoints that start again do to orders.
+ * Model check of restarts: how endpoints that restart affect orders.
  *
- * One VM gives orders with the real code; two versions are named.  Orders stay
- * without an answer and are carried out 2.5 s later; endpoints start again
- * just before an order comes, just after they took it and after they loaded,
- * with their counts anew.  Requests are sent all the while, and refused where
- * weights are others than believed.  When all has settled, every endpoint has
- * the newest weights, and the VM believes what is so.
+ * One VM gives orders with the real code; two versions are announced.  Orders
+ * get no answer and are carried out 2.5 s later; endpoints restart just before
+ * an order arrives, just after they took it and after they loaded, and count
+ * orders from zero.  Requests are sent all the time, and on_refused where the
+ * weights are not the expected ones.  At the end every endpoint must have the
+ * newest weights, and the VM's view must be correct.
  */
 #include "modelworld.h"
 
-#define SECOND_US (1500 * MS) /* the second naming */
+#define SECOND_US (1500 * MS) /* time of the second announcement */
 #define REQUEST_US (250 * MS) /* between requests to each endpoint */
-#define TRAVEL_US (2 * MS)    /* of a request, and its refusal */
-#define RUN_US (16000 * MS)   /* orders that come late included */
+#define TRAVEL_US                                                             \
+  (2 * MS)                  /* duration of a request and its refusal, one way \
+                             */
+#define RUN_US (16000 * MS) /* includes orders that arrive late */
 #define ENDPOINTS 2
 
-/* An endpoint refuses weights that it does not have, and names no others. */
+/* An endpoint refuses a version that it does not have, and names no other. */
 static void
-refused (struct event *e)
+on_refused (struct event *e)
 {
   struct vm *v = &world.vms[e->vm];
   char id[2] = { (char)('0' + e->endpoint), '\0' };
@@ -31,7 +33,7 @@
 }
 
 static void
-ask_all (struct event *e)
+send_requests (struct event *e)
 {
   struct vm *v = &world.vms[e->vm];
   const struct fleet_endpoint *f;
@@ -43,14 +45,15 @@
     i = f->is.id[0] - '0';
     if (f->version == world.endpoints[i].version)
       continue;
-    answer = world_at (world.now_us + TRAVEL_US, v->index, refused);
+    answer = world_at (world.now_us + TRAVEL_US, v->index, on_refused);
     answer->endpoint = i;
     answer->expected = world.now_us;
   }
-  world_at (world.now_us + REQUEST_US, v->index, ask_all);
+  world_at (world.now_us + REQUEST_US, v->index, send_requests);
 }
 
-/* With the safeguard off, what was once believed of a life stays. */
+/* With the safeguard off, the known version of an incarnation never decreases.
+ */
 static int64_t highest[ENDPOINTS];
 
 static void
@@ -83,9 +86,9 @@
   {
     i = f->is.id[0] - '0';
     if (f->version != world.endpoints[i].version || f->version_doubted)
-      model_fail ("weights are believed that are not there", f->version);
+      model_fail ("the known weight version is wrong", f->version);
     if (f->is.born_ms != world.endpoints[i].born_ms)
-      model_fail ("a life is not heard of", f->is.born_ms);
+      model_fail ("a restart is not noticed", f->is.born_ms);
   }
 }
 
@@ -104,7 +107,7 @@
   world_name (world.now_us, 2);
   world_name (world.now_us + SECOND_US, 3);
   world_start (&world.vms[0]);
-  world_at (world.now_us, 0, ask_all);
+  world_at (world.now_us, 0, send_requests);
   world_run (world.now_us + RUN_US);
   if (!model_has_failed ())
     check_end ();
@@ -113,7 +116,7 @@
 
 const struct model_case model_lives_cases[] = {
   { "nothing", run, 0, 2, 1 },
-  { "a word may lower what is believed of weights", run, OFF_FALL, 2, 1 },
-  { "a refusal that names no weights raises a doubt", run, OFF_DOUBT, 2, 1 },
+  { "a report may lower the known weight version", run, OFF_FALL, 2, 1 },
+  { "a refusal without a version makes it uncertain", run, OFF_DOUBT, 2, 1 },
   { NULL, NULL, 0, 0, 0 },
 };
--- a/regress/modellives.sh
+++ b/regress/modellives.sh
@@ -4,4 +4,4 @@
 # run are checked.  With nothing switched off, every endpoint ends with the
 # newest weights, and with a safeguard switched off some run must not.
 model=${CQ_MODEL:-./model}
-$model lives | sed 's/ runs=[0-9]* states=[0-9]*//; s/ steps=[0-9]*//'
+$model restarts | sed 's/ runs=[0-9]* states=[0-9]*//; s/ steps=[0-9]*//'
--- a/regress/modelnamed.c
+++ b/regress/modelnamed.c
@@ -1,32 +1,34 @@
 /*
- * Model check of namings: when a VM takes a version for named.
+ * Model check of announcements: to which time a VM dates one.
  *
- * VMs follow the store with the real follow and keep its row with the real
- * orders; endpoints take orders and never finish, so old weights stay.  All
- * moments of the naming against polls, all VMs that start later, and all VMs
- * ended at once, are played; besides, calls fail and VMs end.  No VM may count
- * the grace of old weights from later than the naming, and one that ran all
- * the while not from much earlier.
+ * VMs follow the store with the real follow module and write its row with the
+ * real orders module.  Endpoints take orders and never finish, so they keep
+ * old weights.  All moments of an announcement against polls, later starts of
+ * a VM, and the end of all VMs at once are checked; besides, calls fail and
+ * VMs end.  No VM may count the time for which old weights are accepted from
+ * later than the announcement, and a VM that ran all the time must not count
+ * it from much earlier.
  */
 #include "modelworld.h"
 
-#define OLD_MAX_US (5000 * MS) /* the grace of old weights */
-#define SETTLED_US (4000 * MS) /* VMs run and poll */
-#define SECOND_US (1500 * MS)  /* between two namings */
-#define RUN_US (8000 * MS)     /* after the naming */
-#define SLACK_US (50 * MS)     /* of calls and clocks */
-/* A call may be lost for a second and asked again, and the holder ended and
+#define OLD_MAX_US (5000 * MS) /* how long outdated weights are accepted */
+#define SETTLED_US (4000 * MS) /* time for VMs to start and poll */
+#define SECOND_US (1500 * MS)  /* between two announcements */
+#define RUN_US (8000 * MS)     /* run time after the announcement */
+#define SLACK_US (50 * MS)     /* tolerance for calls and clocks */
+/* A call may be lost for a second and repeated, and the holder may end and be
    replaced. */
 #define KNOWN_US (3000 * MS)
-/* Knowledge that is older takes no work at all. */
+/* A VM whose last confirmation is older sends no requests at all. */
 #define STALE_US (4700 * MS)
-/* What a VM that hears at once may lose of the grace: a poll waits for 2.2 s
-   and is then as old as that. */
+/* How much of that time a VM that sees the announcement at once may lose: a
+   poll waits for 2.2 s, and its answer is then as old as that. */
 #define EARLY_MAX_US (2300 * MS)
 
-/* The naming that outdates what endpoints have; 0 before it. */
-static int64_t named_us;
-/* Only what VMs know of the newest version is looked at. */
+/* When the announcement that outdates the endpoints' weights is made; 0 before
+   it. */
+static int64_t announced_us;
+/* Check only what VMs know of the newest version. */
 static bool only_newest;
 
 static struct fleet_endpoint *
@@ -35,23 +37,24 @@
   return APR_RING_FIRST (&v->fleet.endpoints);
 }
 
-/* VM would use old weights when the grace is over. */
+/* The VM would use old weights after they may no longer be. */
 static void
 check_late (const struct vm *v)
 {
   const struct fleet_endpoint *e = some_endpoint (v);
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
-  int64_t end = named_us + OLD_MAX_US + SLACK_US;
+  int64_t end = announced_us + OLD_MAX_US + SLACK_US;
 
   if (n != NULL && !fleet_outdated_for (&v->fleet, e, OLD_MAX_US, end))
     model_fail ("old weights too late",
-                (fleet_outdated_since (&v->fleet, e) - named_us) / MS);
+                (fleet_outdated_since (&v->fleet, e) - announced_us) / MS);
   else if (n == NULL && world.now_us > end
            && fleet_age_us (&v->fleet, world.now_us) <= STALE_US)
-    model_fail ("a naming is not heard", (world.now_us - named_us) / MS);
+    model_fail ("an announcement is not seen",
+                (world.now_us - announced_us) / MS);
 }
 
-/* VM takes the newest version for named later than it was. */
+/* The VM dates the newest version later than its announcement. */
 static void
 check_newest (const struct vm *v)
 {
@@ -59,7 +62,8 @@
   int64_t since = fleet_not_before (&v->fleet, "m", last->version);
 
   if (since > last->at_us + SLACK_US)
-    model_fail ("a naming is taken for later", (since - last->at_us) / MS);
+    model_fail ("an announcement is dated too late",
+                (since - last->at_us) / MS);
 }
 
 static void
@@ -68,43 +72,43 @@
   const struct fleet_endpoint *e = some_endpoint (v);
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
   int64_t since = fleet_outdated_since (&v->fleet, e);
-  int64_t soon = named_us + OLD_MAX_US - EARLY_MAX_US;
+  int64_t soon = announced_us + OLD_MAX_US - EARLY_MAX_US;
 
-  if (n == NULL || v->began_us > named_us - SETTLED_US
-      || n->heard_us > named_us + CQ_US_PER_S)
+  if (n == NULL || v->began_us > announced_us - SETTLED_US
+      || n->heard_us > announced_us + CQ_US_PER_S)
     return;
   if (fleet_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
     model_fail ("old weights given up too early",
-                since != FLEET_NEVER ? (named_us - since) / MS : 0);
+                since != FLEET_NEVER ? (announced_us - since) / MS : 0);
 }
 
-/* VM has run for long enough to have read since when old weights are outdated,
-   and others ran all the while and can have written it; but it gives them no
-   work, not knowing. */
+/* The VM has run for long enough to have read since when weights are outdated,
+   and others ran all the time and can have written it; but it does not use
+   them, because it does not know. */
 static void
 check_known (const struct vm *v)
 {
   const struct fleet_endpoint *e = some_endpoint (v);
-  int64_t known_us = MAX (v->began_us, named_us) + KNOWN_US;
+  int64_t known_us = MAX (v->began_us, announced_us) + KNOWN_US;
 
   if (world.now_us >= known_us && fleet_outdated_by (&v->fleet, e) != NULL
       && fleet_outdated_since (&v->fleet, e) == FLEET_NEVER)
-    model_fail ("since when is not known", (world.now_us - known_us) / MS);
+    model_fail ("the time is not known", (world.now_us - known_us) / MS);
 }
 
-/* Whether a VM that heard the naming as it was made runs still. */
+/* Whether a VM still runs that saw the announcement when it was made. */
 static bool
 is_witnessed (void)
 {
   const struct vm *v;
 
   for (v = world.vms; v < world.vms + WORLD_VMS; v++)
-    if (v->up && v->began_us <= named_us - SETTLED_US)
+    if (v->up && v->began_us <= announced_us - SETTLED_US)
       return true;
   return false;
 }
 
-/* Safeguards switched off, in what the VM has just heard. */
+/* Removes from the VM's knowledge what the switched-off safeguards provide. */
 static void
 switch_off (struct vm *v)
 {
@@ -144,7 +148,7 @@
     }
 }
 
-/* --- what VMs go through --------------------------------------------- */
+/* --- starts and ends of VMs ------------------------------------------ */
 
 static void
 start_first (struct event *e)
@@ -170,7 +174,7 @@
 }
 
 static void
-plan_lives (int64_t at_us)
+plan_restarts (int64_t at_us)
 {
   static const int64_t starts_us[]
       = { 300 * MS, 2000 * MS, 3100 * MS, 4200 * MS };
@@ -192,15 +196,16 @@
   world_start (&world.vms[1]);
 }
 
-/* The last poll before a naming may be lost, nothing else before it. */
+/* The last poll before an announcement may be lost, but there are no earlier
+   faults. */
 static void
-end_calm (struct event *e)
+allow_faults (struct event *e)
 {
   (void)e;
   world.calm = false;
 }
 
-/* VMs run and poll until they hear of the first naming. */
+/* Starts VMs, which poll until they see the first announcement. */
 static void
 begin (const struct model_case *model)
 {
@@ -216,51 +221,51 @@
   world_at (world.now_us, -1, start_first);
   world_at (world.now_us + 700 * MS, -1, start_second);
   settled = world.now_us + SETTLED_US + CQ_US_PER_S;
-  world_at (settled - 2500 * MS, -1, end_calm);
-  named_us = settled + (int64_t)model_pick (4) * (550 * MS);
-  world_name (named_us, 2);
+  world_at (settled - 2500 * MS, -1, allow_faults);
+  announced_us = settled + (int64_t)model_pick (4) * (550 * MS);
+  world_name (announced_us, 2);
 }
 
 static void
 run (const struct model_case *model)
 {
   begin (model);
-  plan_lives (named_us);
-  world_run (named_us + RUN_US);
+  plan_restarts (announced_us);
+  world_run (announced_us + RUN_US);
   world_end ();
 }
 
-/* A second version is named before the first is in place. */
+/* A second version is announced before the first is in place. */
 static void
 run_burst (const struct model_case *model)
 {
   begin (model);
-  plan_lives (named_us);
-  world_name (named_us + SECOND_US, 3);
-  world_run (named_us + RUN_US);
+  plan_restarts (announced_us);
+  world_name (announced_us + SECOND_US, 3);
+  world_run (announced_us + RUN_US);
   world_end ();
 }
 
-/* The same, and only what VMs know of the second: the holder of the lease is
-   at work on the first, and the others leave it alone. */
+/* The same, checking only what VMs know of the second: the holder of the lease
+   handles the first, and the others do not write the row. */
 static void
 run_second (const struct model_case *model)
 {
   begin (model);
   only_newest = true;
-  plan_lives (named_us + SECOND_US);
-  world_name (named_us + SECOND_US, 3);
-  world_run (named_us + SECOND_US + RUN_US);
+  plan_restarts (announced_us + SECOND_US);
+  world_name (announced_us + SECOND_US, 3);
+  world_run (announced_us + SECOND_US + RUN_US);
   world_end ();
 }
 
 const struct model_case model_named_cases[] = {
   { "nothing, and nothing fails", run, 0, 0, 2 },
   { "nothing", run, 0, 1, 2 },
-  { "nothing, while the holder is at work", run_second, 0, 1, 2 },
-  { "grace counts from the naming", run, OFF_SINCE, 1, 2 },
-  { "the row keeps when versions were named", run, OFF_RECORD, 1, 2 },
-  { "answers say what was not named yet", run, OFF_MARKS, 1, 2 },
+  { "nothing, while the holder gives orders", run_second, 0, 1, 2 },
+  { "time counts from the announcement", run, OFF_SINCE, 1, 2 },
+  { "the row has the times of announcements", run, OFF_RECORD, 1, 2 },
+  { "answers say what was not announced yet", run, OFF_MARKS, 1, 2 },
   { NULL, NULL, 0, 0, 0 },
 };
 
--- a/regress/modelstore.c
+++ b/regress/modelstore.c
@@ -1,16 +1,15 @@
-/* The store of a model check: one row under its version, and namings. */
+/* The store of a model check: one row with its version, and announcements. */
 #include <string.h>
 
 #include "modelworld.h"
 
-#define START_MS 100000        /* of a run, by the store's clock */
-#define CALL_US (4 * MS)       /* a call and its answer */
-#define SLOW_US (400 * MS)     /* the same, slow */
-#define TIMEOUT_US (1000 * MS) /* a VM waits so long for an answer */
-#define LATE_WRITE_US                                                         \
-  (2500 * MS)                     /* a write without an answer is done then   \
-                                   */
-#define POLL_ANSWER_US (500 * MS) /* over a poll's wait */
+#define START_MS 100000        /* start of a run by the store's clock */
+#define CALL_US (4 * MS)       /* duration of a call and its answer */
+#define SLOW_US (400 * MS)     /* the same with a slow store */
+#define TIMEOUT_US (1000 * MS) /* how long a VM waits for an answer */
+/* When a write without an answer is done. */
+#define LATE_WRITE_US (2500 * MS)
+#define POLL_ANSWER_US (500 * MS) /* how much longer than a poll's wait */
 
 /* --- the row --------------------------------------------------------- */
 
@@ -26,7 +25,7 @@
   e->lease (e->arg, &e->reply);
 }
 
-/* What the store has at this moment. */
+/* The row as it is in the store now. */
 static void
 fill_reply (struct lease_reply *r, int vm)
 {
@@ -114,7 +113,7 @@
 {
   WRITE_REFUSED = WORLD_LEAVE_WAYS, /* not done */
   WRITE_LOST,                       /* not done, no answer */
-  WRITE_UNTOLD,                     /* done, no answer */
+  WRITE_ANSWER_LOST,                /* done, no answer */
   WRITE_LATE,                       /* done later if it still can be */
   WRITE_SLOW,                       /* done, answered late */
   WRITE_WAYS
@@ -124,7 +123,7 @@
 no_answer (struct event *e, enum lease_code code, int64_t after_us)
 {
   no_reply (e, code, after_us);
-  /* Switched off: what may have been written counts for its writer. */
+  /* Safeguard off: a write that may have been done counts for its writer. */
   if (world_is_off (OFF_ACKNOWLEDGED))
     {
       fill_reply (&e->reply, e->vm);
@@ -159,7 +158,7 @@
 
       fill_reply (&e->reply, v->index);
       e->reply.code = done_now ? LEASE_OK : LEASE_CONFLICT;
-      if (way == WRITE_UNTOLD)
+      if (way == WRITE_ANSWER_LOST)
         no_answer (e, LEASE_UNKNOWN, TIMEOUT_US);
     }
   if (way != WRITE_LATE)
@@ -176,11 +175,11 @@
   ops->write_lease = write_lease;
 }
 
-/* --- namings --------------------------------------------------------- */
+/* --- announcements --------------------------------------------------- */
 
-/* The newest naming, if it came after what the VM knows. */
+/* Adds the newest announcement if the VM does not have it yet. */
 static void
-add_naming (const struct event *e, GArray *items)
+append_announcement (const struct event *e, GArray *items)
 {
   struct news_item it = { .kind = NEWS_WANTED };
   const struct world_naming *last;
@@ -210,7 +209,7 @@
 }
 
 static void
-answer_news (struct event *e)
+answer_poll (struct event *e)
 {
   struct news n = { .code = NEWS_SILENT };
   g_autoptr (GArray) items
@@ -224,19 +223,19 @@
       n.store_ms = e->reply.store_ms;
       n.came_us = world.now_us;
       if (e->source == FOLLOW_OPERATOR)
-        add_naming (e, items);
+        append_announcement (e, items);
       else if (e->after < 0)
         add_endpoints (items);
     }
   e->news (e->arg, &n);
 }
 
-/* What the answer says, as of now. */
+/* Schedules an answer with the store's current contents. */
 static void
-give_news (struct event *e, int64_t late_us)
+schedule_answer (struct event *e, int64_t late_us)
 {
   struct event *a = world_at (world.now_us + CALL_US / 2 + late_us,
-                              e->is.running, answer_news);
+                              e->is.running, answer_poll);
 
   a->life = e->life;
   a->news = e->news;
@@ -249,15 +248,15 @@
   a->naming = world.nnamings - 1;
 }
 
-/* A poll is over, or was woken by a naming. */
+/* A poll ended, by its wait or by an announcement. */
 static void
 end_poll (struct event *e)
 {
-  give_news (e, e->late_us);
+  schedule_answer (e, e->late_us);
 }
 
 static bool
-is_news (const struct event *e)
+is_poll_ready (const struct event *e)
 {
   return e->source == FOLLOW_OPERATOR && world.nnamings > 0
          && world.namings[world.nnamings - 1].change > e->after;
@@ -272,7 +271,7 @@
   for (i = 0; i < world.events->len; i++)
     {
       e = world.events->pdata[i];
-      if (e->run == end_poll && is_news (e))
+      if (e->run == end_poll && is_poll_ready (e))
         e->at_us = MAX (MIN (e->at_us, world.now_us), e->came_us);
     }
 }
@@ -285,8 +284,8 @@
 };
 
 static void
-ask_news (struct vm *v, enum follow_source source, int64_t after,
-          int64_t wait_us, news_done done, void *arg)
+start_poll (struct vm *v, enum follow_source source, int64_t after,
+            int64_t wait_us, news_done done, void *arg)
 {
   int way = source == FOLLOW_OPERATOR ? world_fault (v, POLL_WAYS) : 0;
   struct event *e;
@@ -298,7 +297,7 @@
       model_note ("%5d vm %c: the answer to a poll is lost\n", world_ms (),
                   'a' + v->index);
       e = world_at (world.now_us + wait_us + POLL_ANSWER_US, v->index,
-                    answer_news);
+                    answer_poll);
       e->reply.code = LEASE_UNKNOWN;
     }
   else
@@ -321,7 +320,7 @@
           const struct follow_limits *limits, news_done done, void *arg)
 {
   (void)limits;
-  ask_news (ctx, source, -1, 0, done, arg);
+  start_poll (ctx, source, -1, 0, done, arg);
 }
 
 static void
@@ -330,7 +329,7 @@
          void *arg)
 {
   (void)limits;
-  ask_news (ctx, source, version, wait_us, done, arg);
+  start_poll (ctx, source, version, wait_us, done, arg);
 }
 
 void
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -1,4 +1,4 @@
-/* The world of a model check: time, lives of VMs, endpoints. */
+/* The simulated environment of the model checks: time, VMs, endpoints. */
 #include "modelworld.h"
 
 #include <string.h>
@@ -6,19 +6,23 @@
 #include "log.h"
 
 #define START_US (100 * CQ_US_PER_S)
-#define SHORT_FREEZE_US (700 * MS) /* within a lease, past a window */
-#define LONG_FREEZE_US (2600 * MS) /* past a lease: a successor is at work */
-#define BACK_US (300 * MS)         /* a VM that ended is back */
-#define LOAD_US (300 * MS)         /* an endpoint's load */
-#define TRAVEL_US (1 * MS)         /* of a call, one way */
-#define LATE_ORDER_US (100 * MS)   /* the same, at worst, for an order */
-#define LOST_ORDER_US (2500 * MS)  /* one without an answer is carried out */
-#define RESTART_US (40 * MS)       /* an endpoint is up again after an order */
-#define ENTRY_US (400 * MS)        /* and its entry says so */
+#define SHORT_FREEZE_US                                                       \
+  (700 * MS) /* shorter than a lease, longer than a window for orders */
+#define LONG_FREEZE_US                                                        \
+  (2600 * MS)              /* longer than a lease: a successor is active */
+#define BACK_US (300 * MS) /* time until a VM that ended is back */
+#define LOAD_US (300 * MS) /* duration of a load */
+#define TRAVEL_US (1 * MS) /* duration of a call, one way */
+#define LATE_ORDER_US (100 * MS) /* the same for an order, at worst */
+#define LOST_ORDER_US                                                         \
+  (2500 * MS) /* until an order without an answer is carried out */
+#define RESTART_US                                                            \
+  (40 * MS) /* time from an order until a restarted endpoint is up */
+#define ENTRY_US (400 * MS) /* time until its entry shows the restart */
 
 struct world world;
 
-/* --- time, as the product asks for it -------------------------------- */
+/* --- time, as the product queries it ---------------------------------- */
 
 int64_t
 loop_now_us (void)
@@ -70,7 +74,7 @@
   return (world.model->off & safeguard) != 0;
 }
 
-/* --- what happens ---------------------------------------------------- */
+/* --- events ---------------------------------------------------------- */
 
 struct event *
 world_at (int64_t at_us, int vm, void (*run) (struct event *e))
@@ -86,7 +90,7 @@
   return e;
 }
 
-/* When VM can take something that is due at AT_US. */
+/* When the VM can process something that is due at AT_US. */
 static int64_t
 vm_time (const struct vm *v, int64_t at_us)
 {
@@ -155,7 +159,7 @@
   g_free (e);
 }
 
-static void end_life (struct vm *v);
+static void stop_vm (struct vm *v);
 
 static void
 after_step (void)
@@ -165,7 +169,7 @@
   model_step ();
   for (i = 0; i < WORLD_VMS; i++)
     if (world.vms[i].dying && !world.vms[i].inside)
-      end_life (&world.vms[i]);
+      stop_vm (&world.vms[i]);
   if (world.after != NULL)
     world.after ();
 }
@@ -199,7 +203,7 @@
   world.now_us = MAX (world.now_us, until_us);
 }
 
-/* --- what goes wrong ------------------------------------------------- */
+/* --- faults ---------------------------------------------------------- */
 
 int
 world_fault (const struct vm *v, int n)
@@ -207,14 +211,14 @@
   return v->dying || world.calm ? 0 : model_fault (n);
 }
 
-/* --- lives ----------------------------------------------------------- */
+/* --- start and end of VMs -------------------------------------------- */
 
 static void
-stand_still (struct vm *v, int64_t for_us)
+freeze (struct vm *v, int64_t for_us)
 {
   int64_t until = world.now_us + for_us;
 
-  model_note ("%5d vm %c stands still inside a step for %d ms\n", world_ms (),
+  model_note ("%5d vm %c is frozen inside a step for %d ms\n", world_ms (),
               'a' + v->index, (int)(for_us / MS));
   world.nested++;
   v->inside = true;
@@ -228,9 +232,10 @@
 {
   if (v->dying)
     return false;
-  /* One VM at a time stands still inside a step, which holds up only it. */
+  /* Only one VM at a time is frozen inside a step, which delays only that VM.
+   */
   if ((way == 1 || way == 2) && world.nested == 0)
-    stand_still (v, way == 1 ? SHORT_FREEZE_US : LONG_FREEZE_US);
+    freeze (v, way == 1 ? SHORT_FREEZE_US : LONG_FREEZE_US);
   else if (way == 3)
     {
       world_kill (v, BACK_US);
@@ -242,12 +247,12 @@
     world_kill (v, BACK_US);
   if (way == 4 || way == 5)
     model_note ("%5d vm %c %s once a call has left\n", world_ms (),
-                'a' + v->index, way == 4 ? "stands still" : "ends");
+                'a' + v->index, way == 4 ? "is frozen" : "ends");
   return true;
 }
 
-static void state (void *ctx, const struct fleet_endpoint *e, state_done done,
-                   void *arg);
+static void query_state (void *ctx, const struct fleet_endpoint *e,
+                         state_done done, void *arg);
 static void order (void *ctx, const struct fleet_endpoint *e,
                    const struct load_order *o, bool (*may_send) (void *arg),
                    order_done done, void *arg);
@@ -276,14 +281,14 @@
 }
 
 static void
-look_at_orders (void *arg, int64_t now_us)
+check_orders (void *arg, int64_t now_us)
 {
   struct vm *v = arg;
 
   orders_check (v->orders, now_us);
 }
 
-/* Of pauses: another for each life. */
+/* Seed of random delays; differs for each incarnation. */
 static uint64_t
 seed_of (const struct vm *v)
 {
@@ -297,7 +302,7 @@
   static const char *const names[WORLD_VMS] = { "a", "b", "c" };
 
   world_lease_ops (&o.ops);
-  o.ops.query_state = state;
+  o.ops.query_state = query_state;
   o.ops.send_order = order;
   o.ops.ctx = v;
   o.vm = names[world_is_off (OFF_SAME_VM) ? 0 : v->index];
@@ -313,18 +318,18 @@
 
   world_follow_ops (&o.ops);
   o.ops.ctx = v;
-  o.changed = look_at_orders;
+  o.changed = check_orders;
   o.arg = v;
-  /* Polls wait their longest. */
+  /* Polls wait for the maximum time. */
   o.current_us = 3000 * MS;
   o.seed = seed_of (v);
   v->follow = follow_new (&o);
   follow_start (v->follow);
 }
 
-/* Without polls, VMs know each naming when it is made. */
+/* Without polls, VMs learn of each announcement when it is made. */
 static void
-hear_at_once (struct vm *v)
+see_announcement_now (struct vm *v)
 {
   const struct world_naming *n;
 
@@ -348,11 +353,11 @@
   if (world.follows)
     make_follow (v);
   else
-    hear_at_once (v);
+    see_announcement_now (v);
 }
 
 static void
-end_life (struct vm *v)
+stop_vm (struct vm *v)
 {
   v->up = false;
   v->dying = false;
@@ -366,7 +371,7 @@
 }
 
 static void
-begin_again (struct event *e)
+start_again (struct event *e)
 {
   struct vm *v = &world.vms[e->endpoint];
 
@@ -382,33 +387,33 @@
   model_note ("%5d vm %c ends\n", world_ms (), 'a' + v->index);
   v->dying = true;
   if (back_us >= 0)
-    world_at (world.now_us + back_us, -1, begin_again)->endpoint = v->index;
+    world_at (world.now_us + back_us, -1, start_again)->endpoint = v->index;
 }
 
 static void
-hear (struct event *e)
+see_announcement (struct event *e)
 {
-  hear_at_once (&world.vms[e->vm]);
+  see_announcement_now (&world.vms[e->vm]);
 }
 
 static void
-take_naming (struct event *e)
+add_announcement (struct event *e)
 {
   struct world_naming n = { world.now_us, e->expected, ++world.changes };
   int i;
 
-  model_note ("%5d version %d is named\n", world_ms (), (int)n.version);
+  model_note ("%5d version %d is announced\n", world_ms (), (int)n.version);
   world.namings[world.nnamings++] = n;
   world_wake_polls ();
   for (i = 0; i < WORLD_VMS && !world.follows; i++)
     if (world.vms[i].up)
-      world_at (world.now_us, i, hear);
+      world_at (world.now_us, i, see_announcement);
 }
 
 void
 world_name (int64_t at_us, int64_t version)
 {
-  world_at (at_us, -1, take_naming)->expected = version;
+  world_at (at_us, -1, add_announcement)->expected = version;
 }
 
 /* --- endpoints ------------------------------------------------------- */
@@ -420,7 +425,8 @@
 }
 
 static void
-state (void *ctx, const struct fleet_endpoint *f, state_done done, void *arg)
+query_state (void *ctx, const struct fleet_endpoint *f, state_done done,
+             void *arg)
 {
   struct vm *v = ctx;
   int ways = world.follows || world.lives ? 1 : WORLD_LEAVE_WAYS + 1;
@@ -444,7 +450,7 @@
 }
 
 static void
-tell_version (struct event *e)
+report_version (struct event *e)
 {
   struct vm *v = &world.vms[e->vm];
   char id[2] = { (char)('0' + e->endpoint), '\0' };
@@ -467,7 +473,7 @@
   struct event *told;
   int i;
 
-  /* A load ends with the life that began it. */
+  /* A load ends with the incarnation that began it. */
   if (w->born_ms != e->expected)
     return;
   w->busy = false;
@@ -478,7 +484,7 @@
   for (i = 0; i < WORLD_VMS; i++)
     if (world.vms[i].up)
       {
-        told = world_at (world.now_us + 20 * MS, i, tell_version);
+        told = world_at (world.now_us + 20 * MS, i, report_version);
         told->endpoint = e->endpoint;
         told->is.version = w->version;
       }
@@ -490,18 +496,19 @@
   e->order (e->arg, e->code, NULL);
 }
 
-/* Endpoints do not look at fences: whatever comes is carried out. */
+/* Endpoints do not check fencing tokens: every order that arrives is carried
+   out. */
 static void
-judge_order (const struct event *e)
+check_order (const struct event *e)
 {
   int vm = e->is.running;
 
   if (world.last_vm >= 0 && world.last_vm != vm
       && world.now_us - world.last_us < WORLD_LEASE_MS * MS)
-    model_fail ("orders of two VMs are too near",
+    model_fail ("orders of two VMs are too close",
                 (world.now_us - world.last_us) / MS);
   if (e->load.fence < world.last_fence)
-    model_fail ("a lower fence after a higher one", e->load.fence);
+    model_fail ("a lower fencing token after a higher one", e->load.fence);
   world.last_vm = vm;
   world.last_us = world.now_us;
   world.last_fence = MAX (world.last_fence, e->load.fence);
@@ -513,9 +520,10 @@
   struct world_endpoint *w = &world.endpoints[e->endpoint];
   struct event *end;
 
-  /* One VM orders there, and what is carried out late had come in time. */
+  /* With restarts only one VM gives orders, and an order that is carried out
+     late had arrived in time. */
   if (!world.lives)
-    judge_order (e);
+    check_order (e);
   if (w->busy || e->load.seq != w->seq)
     return;
   w->seq++;
@@ -545,7 +553,7 @@
   struct world_endpoint *w = &world.endpoints[endpoint];
   int i;
 
-  model_note ("%5d endpoint %d starts again\n", world_ms (), endpoint);
+  model_note ("%5d endpoint %d restarts\n", world_ms (), endpoint);
   w->born_ms++;
   w->seq = 0;
   w->busy = false;
@@ -567,41 +575,43 @@
               'a' + v->index, endpoint, (int)o->fence);
   if (!world_is_off (OFF_UNTIL)
       && world.row.order_until_ms <= world.now_us / MS)
-    model_fail ("no successor knows of an order that leaves",
+    model_fail ("an order is sent outside the window in the row",
                 world.row.order_until_ms - world.now_us / MS);
 }
 
-/* The ways of an order where endpoints start again. */
-enum lives_way
+/* What may happen to an order if endpoints restart. */
+enum restart_way
 {
-  LIVES_WELL,   /* carried out and answered */
-  LIVES_LATE,   /* not answered, and carried out seconds later */
-  LIVES_BEFORE, /* the endpoint starts again before it comes */
-  LIVES_AFTER,  /* and after it was taken */
-  LIVES_WAYS
+  ORDER_WAY_DONE,           /* carried out and answered */
+  ORDER_WAY_LATE,           /* not answered, and carried out seconds later */
+  ORDER_WAY_RESTART_BEFORE, /* the endpoint restarts before the order arrives
+                             */
+  ORDER_WAY_RESTART_AFTER,  /* the endpoint restarts after it took the order */
+  ORDER_WAYS
 };
 
 static void
-order_with_lives (struct vm *v, int endpoint, const struct load_order *o,
-                  order_done done, void *arg)
+order_with_restarts (struct vm *v, int endpoint, const struct load_order *o,
+                     order_done done, void *arg)
 {
-  enum lives_way way = (enum lives_way)world_fault (v, LIVES_WAYS);
+  enum restart_way way = (enum restart_way)world_fault (v, ORDER_WAYS);
   struct event *e
       = world_at (world.now_us + 2 * TRAVEL_US, v->index, answer_order);
 
   e->order = done;
   e->arg = arg;
-  e->code = way == LIVES_LATE ? ORDER_UNKNOWN : ORDER_ACCEPTED;
-  if (way == LIVES_LATE)
+  e->code = way == ORDER_WAY_LATE ? ORDER_UNKNOWN : ORDER_ACCEPTED;
+  if (way == ORDER_WAY_LATE)
     e->at_us = world.now_us + 800 * MS;
-  if (way == LIVES_BEFORE)
+  if (way == ORDER_WAY_RESTART_BEFORE)
     world_restart (endpoint);
-  if (way == LIVES_AFTER)
+  if (way == ORDER_WAY_RESTART_AFTER)
     world_at (world.now_us + RESTART_US, -1, restart_now)->endpoint = endpoint;
-  send_order (v, endpoint, o, way == LIVES_LATE ? LOST_ORDER_US : TRAVEL_US);
+  send_order (v, endpoint, o,
+              way == ORDER_WAY_LATE ? LOST_ORDER_US : TRAVEL_US);
 }
 
-/* What is on its way when its sender stands still or ends comes late. */
+/* An order in flight when its sender is frozen or ends arrives late. */
 static void
 order (void *ctx, const struct fleet_endpoint *f, const struct load_order *o,
        bool (*may_send) (void *arg), order_done done, void *arg)
@@ -615,7 +625,7 @@
 
   if (world.lives)
     {
-      order_with_lives (v, f->is.id[0] - '0', o, done, arg);
+      order_with_restarts (v, f->is.id[0] - '0', o, done, arg);
       return;
     }
   if (!world_leaves (v, way < WORLD_LEAVE_WAYS ? way : 0))
@@ -672,7 +682,7 @@
 
   for (i = 0; i < WORLD_VMS; i++)
     if (world.vms[i].up)
-      end_life (&world.vms[i]);
+      stop_vm (&world.vms[i]);
   g_ptr_array_set_free_func (world.events, g_free);
   g_ptr_array_free (world.events, TRUE);
 }
--- a/regress/modelworld.h
+++ b/regress/modelworld.h
@@ -1,7 +1,8 @@
 /*
- * The world of a model check: played time, VMs with the real orders and
- * follow, a store with one row and one naming after another, endpoints that
- * do not check fences.  What goes wrong is asked of the search.
+ * The simulated environment of the model checks: simulated time, VMs with the
+ * real orders and follow modules, a store with one row and successive
+ * announcements, and endpoints that do not check fencing tokens.  The search
+ * decides what goes wrong.
  */
 #ifndef CQ_MODELWORLD_H
 #define CQ_MODELWORLD_H
@@ -16,155 +17,158 @@
 #define MS CQ_US_PER_MS
 #define WORLD_VMS 3
 #define WORLD_ENDPOINTS 4
-#define WORLD_LEASE_MS 3000 /* between orders of two holders, by the rule */
+#define WORLD_LEASE_MS 3000 /* required time between orders of two holders */
 
 /* Safeguards that a case may switch off. */
 enum world_off
 {
-  OFF_UNTIL = 1,         /* a row says until when its holder may order */
-  OFF_GAP = 2,           /* a successor waits for the gap */
-  OFF_BEGIN = 4,         /* a row says from when its holder may order */
-  OFF_SAME_VM = 8,       /* only lives of one VM go on without the gap */
+  OFF_UNTIL = 1,   /* the row says until when its holder may order */
+  OFF_GAP = 2,     /* a successor waits for the gap */
+  OFF_BEGIN = 4,   /* the row says from when its holder may order */
+  OFF_SAME_VM = 8, /* only incarnations of one VM continue without the gap */
   OFF_PRECONDITION = 16, /* a write names the row's version */
-  OFF_LAST_LOOK = 32,    /* the lease is looked at before the first byte */
+  OFF_LAST_LOOK = 32,    /* the lease is checked before the first byte */
   OFF_ACKNOWLEDGED = 64, /* only acknowledged writes count */
-  OFF_STORE_CLOCK = 128, /* there is one clock, the store's */
-  OFF_SINCE = 256,       /* grace counts from the naming, not the hearing */
-  OFF_RECORD = 512,      /* the row keeps when versions were named */
-  OFF_MARKS = 1024,      /* answers tell what had not been named yet */
-  OFF_FALL = 2048,       /* a word may lower what is believed of weights */
-  OFF_DOUBT = 4096       /* a refusal that names no weights raises a doubt */
+  OFF_STORE_CLOCK = 128, /* one clock counts, the store's */
+  OFF_SINCE = 256, /* outdated weights are accepted for a time counted from the
+                      announcement, not from when it was seen */
+  OFF_RECORD = 512, /* the row contains the times of announcements */
+  OFF_MARKS = 1024, /* answers tell what was not yet announced */
+  OFF_FALL = 2048,  /* a report may lower the known weight version */
+  OFF_DOUBT = 4096  /* a refusal without a weight version makes the known
+                       version uncertain */
 };
 
 struct vm;
 
-/* Timers of one life of a VM. */
+/* Timers of one incarnation of a VM. */
 struct loop
 {
-  struct vm *vm;                                /* whose */
+  struct vm *vm;                                /* VM that owns the timers */
   APR_RING_HEAD (vm_timers, loop_timer) timers; /* armed */
 };
 
-/* A VM and its present life. */
+/* A VM and its current incarnation. */
 struct vm
 {
-  int index;             /* among all */
-  int life;              /* lives so far */
+  int index;             /* index in world.vms */
+  int life;              /* incarnations so far */
   bool up;               /* it runs */
-  bool dying;            /* this life ends with the present step */
-  bool inside;           /* it stands still in the middle of a step */
-  int64_t frozen_us;     /* it stands still until then */
-  int64_t began_us;      /* this life */
+  bool dying;            /* this incarnation ends with the current step */
+  bool inside;           /* it is frozen in the middle of a step */
+  int64_t frozen_us;     /* it is frozen until then */
+  int64_t began_us;      /* start of this incarnation */
   struct loop loop;      /* its timers */
-  struct fleet fleet;    /* beliefs */
-  struct orders *orders; /* weights */
-  struct follow *follow; /* what the store says; NULL if told at once */
+  struct fleet fleet;    /* its view of the endpoints */
+  struct orders *orders; /* its orders module */
+  struct follow *follow; /* its connection to the store; NULL if it learns
+                            announcements at once */
 };
 
 /* An endpoint. */
 struct world_endpoint
 {
-  int64_t seq;     /* orders it took */
-  int64_t version; /* of its weights */
-  bool busy;       /* it loads */
-  int64_t born_ms; /* this life */
+  int64_t seq;     /* orders taken */
+  int64_t version; /* version of its weights */
+  bool busy;       /* it loads weights */
+  int64_t born_ms; /* start of this incarnation */
 };
 
-/* A version that was named. */
+/* An announced version. */
 struct world_naming
 {
-  int64_t at_us;   /* when the store had it */
-  int64_t version; /* its number */
-  int64_t change;  /* count of changes then */
+  int64_t at_us;   /* when the store received it */
+  int64_t version; /* the version */
+  int64_t change;  /* the store's count of changes then */
 };
 
 #define WORLD_NAMINGS 3
 
-/* Something that is to happen. */
+/* A scheduled event. */
 struct event
 {
-  int64_t at_us;                 /* then */
-  unsigned number;               /* first come, first served */
-  int vm;                        /* to it, or -1 */
-  int life;                      /* of that VM */
-  void (*run) (struct event *e); /* what happens */
-  lease_done lease;              /* whom to tell */
-  state_done state;              /* likewise */
-  order_done order;              /* likewise */
-  news_done news;                /* likewise */
-  void *arg;                     /* passed to it */
-  struct lease_reply reply;      /* about the row */
-  struct lease_row row;          /* to be written */
-  int64_t expected;              /* its version */
-  struct endpoint_state is;      /* of an endpoint */
-  struct load_order load;        /* an order on its way */
-  enum order_code code;          /* of its answer */
-  int endpoint;                  /* about which */
-  enum follow_source source;     /* that is polled */
-  int naming;                    /* the newest that it tells, or -1 */
-  int64_t after;                 /* changes after this one, -1: all */
-  int64_t came_us;               /* a poll, to the store */
-  int64_t late_us;               /* its answer takes longer by so much */
+  int64_t at_us;                 /* time of the event */
+  unsigned number;               /* order among events at the same time */
+  int vm;                        /* VM that the event concerns, or -1 */
+  int life;                      /* incarnation of that VM */
+  void (*run) (struct event *e); /* callback of the event */
+  lease_done lease;              /* callback of a call about the row */
+  state_done state;              /* callback of a state query */
+  order_done order;              /* callback of an order */
+  news_done news;                /* callback of a poll */
+  void *arg;                     /* passed to the callback */
+  struct lease_reply reply;      /* reply about the row */
+  struct lease_row row;          /* row to be written */
+  int64_t expected;              /* expected version of the row */
+  struct endpoint_state is;      /* state of an endpoint */
+  struct load_order load;        /* an order in flight */
+  enum order_code code;          /* outcome of the order */
+  int endpoint;                  /* endpoint that the event concerns */
+  enum follow_source source;     /* source that is polled */
+  int naming;                    /* newest announcement in the answer, or -1 */
+  int64_t after;   /* the poll asks for changes after this one; -1: all */
+  int64_t came_us; /* when the poll reached the store */
+  int64_t late_us; /* additional delay of the answer */
 };
 
 struct world
 {
-  const struct model_case *model; /* as asked for */
-  bool follows;                   /* VMs poll the store for namings */
-  bool calm;                      /* nothing goes wrong for now */
+  const struct model_case *model; /* the case */
+  bool follows;                   /* VMs poll the store for announcements */
+  bool calm;                      /* no faults are injected for now */
   bool endless;                   /* loads do not end within the run */
-  bool lives;                     /* endpoints start again, orders are late */
-  int64_t now_us;                 /* time */
-  unsigned numbers;               /* events so far */
-  int nested;                     /* a VM stands still inside a step */
-  GPtrArray *events;              /* struct event */
-  struct vm vms[WORLD_VMS];       /* all */
-  struct lease_row row;           /* in the store */
-  int64_t row_version;            /* 0: there is none */
-  int64_t changes;                /* of the store */
+  bool lives;               /* endpoints restart and orders arrive late */
+  int64_t now_us;           /* simulated time */
+  unsigned numbers;         /* number of events so far */
+  int nested;               /* depth of steps in which a VM is frozen */
+  GPtrArray *events;        /* struct event */
+  struct vm vms[WORLD_VMS]; /* all */
+  struct lease_row row;     /* the row in the store */
+  int64_t row_version;      /* version of the row; 0: no row exists */
+  int64_t changes;          /* count of changes of the store */
   struct world_endpoint endpoints[WORLD_ENDPOINTS]; /* all */
-  int nendpoints;                                   /* of them */
-  struct world_naming namings[WORLD_NAMINGS];       /* in order */
-  int nnamings;                                     /* so far */
-  int last_vm;          /* that ordered last, or -1 */
-  int64_t last_us;      /* when that arrived */
-  int64_t last_fence;   /* highest */
-  void (*after) (void); /* looks after each step, or NULL */
+  int nendpoints;                                   /* number of endpoints */
+  struct world_naming namings[WORLD_NAMINGS]; /* announcements in order */
+  int nnamings;                               /* announcements so far */
+  int last_vm;          /* VM whose order arrived last, or -1 */
+  int64_t last_us;      /* when that order arrived */
+  int64_t last_fence;   /* highest fencing token so far */
+  void (*after) (void); /* check after each step, or NULL */
 };
 
 extern struct world world;
 
 void world_begin (const struct model_case *model, bool follows);
 void world_end (void);
-/* Let time pass until UNTIL_US, or until a property broke. */
+/* Runs events until UNTIL_US or until a property is broken. */
 void world_run (int64_t until_us);
-/* A new life of a VM begins, or its life ends and another begins after
-   BACK_US (-1: none). */
+/* Starts a new incarnation of a VM, or ends the current one and starts another
+   after BACK_US (-1: none). */
 void world_start (struct vm *v);
 void world_kill (struct vm *v, int64_t back_us);
-/* VERSION is named at AT_US. */
+/* Announces VERSION at AT_US. */
 void world_name (int64_t at_us, int64_t version);
 struct event *world_at (int64_t at_us, int vm, void (*run) (struct event *e));
 /* Milliseconds since the run began, for notes. */
 int world_ms (void);
 bool world_is_off (unsigned safeguard);
 
-/* Polls that wait for a naming are answered. */
+/* Answers the polls that wait for an announcement. */
 void world_wake_polls (void);
 
-/* An endpoint starts again under its id; its entry says so a while later. */
+/* Restarts an endpoint under its id; its entry shows that later. */
 void world_restart (int endpoint);
-/* An endpoint as the store lists it. */
+/* Fills in the endpoint's entry in the store's list. */
 void world_list (int endpoint, struct fleet_listing *l);
 
-/* Which of N ways a call of V goes, 0 for well. */
+/* Returns which of N ways a call of V takes; 0: without a fault. */
 int world_fault (const struct vm *v, int n);
 
-/* What goes wrong with calls about the row (modelstore.c). */
+/* Operations of the store, which inject faults into calls (modelstore.c). */
 void world_lease_ops (struct orders_ops *ops);
 void world_follow_ops (struct follow_ops *ops);
-/* The VM that made a call may stand still or end before it leaves: false if
-   it does not leave. */
+/* The VM that makes a call may be frozen or end before the call is sent;
+   returns false if it is not sent. */
 bool world_leaves (struct vm *v, int way);
 #define WORLD_LEAVE_WAYS 6
 
