--- a/regress/model.c
+++ b/regress/model.c
@@ -203,11 +203,11 @@
   if (strcmp (name, "lease") == 0)
     return model_lease_cases;
   if (strcmp (name, "announcements") == 0)
-    return model_named_cases;
+    return model_announcement_cases;
   if (strcmp (name, "burst") == 0)
     return model_burst_cases;
   if (strcmp (name, "restarts") == 0)
-    return model_lives_cases;
+    return model_restart_cases;
   return strcmp (name, "keys") == 0 ? model_keys_cases : NULL;
 }
 
--- a/regress/model.h
+++ b/regress/model.h
@@ -22,10 +22,10 @@
 
 /* Each list ends with a case without a name. */
 extern const struct model_case model_lease_cases[];
-extern const struct model_case model_named_cases[];
+extern const struct model_case model_announcement_cases[];
 extern const struct model_case model_burst_cases[];
 extern const struct model_case model_keys_cases[];
-extern const struct model_case model_lives_cases[];
+extern const struct model_case model_restart_cases[];
 
 /* Returns one of N alternatives; the search tries all of them in turn. */
 int model_pick (int n);
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -30,10 +30,11 @@
 /* Safeguards that a case may switch off, and what it may add. */
 enum keys_off
 {
-  OFF_AGE = 1,    /* settings that are too old admit nothing */
-  OFF_GIVEN = 2,  /* their age counts from the answer, not from its arrival */
-  OFF_LOOK = 4,   /* the age is checked again before the first byte */
-  OFF_MARGIN = 8, /* that check leaves enough time for the byte to leave */
+  OFF_AGE = 1, /* settings that are too old admit nothing */
+  OFF_ANSWER_TIME
+  = 2,             /* their age counts from the answer, not from its arrival */
+  OFF_RECHECK = 4, /* the age is checked again before the first byte */
+  OFF_MARGIN = 8,  /* that check leaves enough time for the byte to leave */
   WITH_JUMPS = 1024, /* the platform's clock may jump */
   EVACUATION = 2048  /* a domain is evacuated, and no key is revoked */
 };
@@ -150,9 +151,9 @@
   struct vm *v = &world.vms[0];
 
   if (way == CALL_AFTER_SHORT || way == CALL_AFTER_LONG)
-    world_leaves (v, way == CALL_AFTER_SHORT ? 1 : 2);
+    world_send_call (v, way == CALL_AFTER_SHORT ? 1 : 2);
   else if (way == CALL_THEN_FREEZE)
-    world_leaves (v, 4);
+    world_send_call (v, 4);
 }
 
 static void
@@ -232,14 +233,14 @@
 send_on (struct event *e)
 {
   (void)e;
-  if (world_is_off (OFF_LOOK) || is_admitted ())
+  if (world_is_off (OFF_RECHECK) || is_admitted ())
     {
       int64_t late = world.now_us + BYTE_US - revoked_us - BOUND_US;
 
       if (late > 0)
         model_fail (world_is_off (EVACUATION)
                         ? "an evacuated domain gets a request"
-                        : "a key is_admitted what it must not",
+                        : "a revoked key is accepted",
                     late / MS);
     }
 }
@@ -260,7 +261,7 @@
 {
   struct vm *v = arg;
 
-  if (world_is_off (OFF_GIVEN))
+  if (world_is_off (OFF_ANSWER_TIME))
     v->fleet.fresh_us = now_us;
 }
 
@@ -341,17 +342,17 @@
 const struct model_case model_keys_cases[] = {
   { "nothing", run, 0, 2, 1 },
   { "nothing, and the platform's clock jumps", run, WITH_JUMPS, 2, 1 },
-  { "knowledge that is too old is_admitted nothing", run, OFF_AGE, 2, 1 },
-  { "their age counts from the answer, not its arrival", run, OFF_GIVEN, 2,
-    1 },
-  { "a check before the first byte", run, OFF_LOOK, 2, 1 },
+  { "settings that are too old admit nothing", run, OFF_AGE, 2, 1 },
+  { "their age counts from the answer, not its arrival", run, OFF_ANSWER_TIME,
+    2, 1 },
+  { "a check before the first byte", run, OFF_RECHECK, 2, 1 },
   { "a margin for that byte to leave", run, OFF_MARGIN, 3, 1 },
   { "nothing, and a domain is evacuated", run, EVACUATION, 2, 1 },
-  { "likewise, knowledge that is too old is_admitted nothing", run,
+  { "likewise, settings that are too old admit nothing", run,
     EVACUATION | OFF_AGE, 2, 1 },
-  { "likewise, their age counts from the answer", run, EVACUATION | OFF_GIVEN,
+  { "likewise, their age counts from the answer", run,
+    EVACUATION | OFF_ANSWER_TIME, 2, 1 },
+  { "likewise, a check before the first byte", run, EVACUATION | OFF_RECHECK,
     2, 1 },
-  { "likewise, a check before the first byte", run, EVACUATION | OFF_LOOK, 2,
-    1 },
   { NULL, NULL, 0, 0, 0 },
 };
--- a/regress/modellease.c
+++ b/regress/modellease.c
@@ -16,8 +16,8 @@
   int i;
 
   world_begin (model, false);
-  world_name (world.now_us, 2);
-  world_name (world.now_us + SECOND_US, 3);
+  world_announce (world.now_us, 2);
+  world_announce (world.now_us + SECOND_US, 3);
   for (i = 0; i < model->vms; i++)
     world_start (&world.vms[i]);
   world_run (world.now_us + RUN_US);
@@ -32,7 +32,7 @@
   { "the row says from when its holder orders", run, OFF_BEGIN, 2, 2 },
   { "only incarnations of one VM continue at once", run, OFF_SAME_VM, 2, 2 },
   { "writes name the row's version", run, OFF_PRECONDITION, 2, 2 },
-  { "a check of the lease before the first byte", run, OFF_LAST_LOOK, 2, 2 },
+  { "a check of the lease before the first byte", run, OFF_LAST_CHECK, 2, 2 },
   { "writes count once they are acknowledged", run, OFF_ACKNOWLEDGED, 2, 2 },
   { "one clock, the store's", run, OFF_STORE_CLOCK, 2, 2 },
   { NULL, NULL, 0, 0, 0 },
--- a/regress/modellives.c
+++ b/regress/modellives.c
@@ -4,7 +4,7 @@
  * One VM gives orders with the real code; two versions are announced.  Orders
  * get no answer and are carried out 2.5 s later; endpoints restart just before
  * an order arrives, just after they took it and after they loaded, and count
- * orders from zero.  Requests are sent all the time, and on_refused where the
+ * orders from zero.  Requests are sent all the time, and refused where the
  * weights are not the expected ones.  At the end every endpoint must have the
  * newest weights, and the VM's view must be correct.
  */
@@ -26,7 +26,8 @@
   char id[2] = { (char)('0' + e->endpoint), '\0' };
   struct fleet_endpoint *f = g_hash_table_lookup (v->fleet.by_id, id);
 
-  if (f == NULL || e->expected <= f->version_us || world_is_off (OFF_DOUBT))
+  if (f == NULL || e->expected <= f->version_us
+      || world_is_off (OFF_UNCERTAIN))
     return;
   fleet_doubt_version (f);
   orders_check (v->orders, world.now_us);
@@ -74,7 +75,7 @@
 static void
 check_end (void)
 {
-  int64_t newest = world.namings[world.nnamings - 1].version;
+  int64_t newest = world.announcements[world.nannouncements - 1].version;
   const struct fleet_endpoint *f;
   int i;
 
@@ -87,7 +88,7 @@
     i = f->is.id[0] - '0';
     if (f->version != world.endpoints[i].version || f->version_doubted)
       model_fail ("the known weight version is wrong", f->version);
-    if (f->is.born_ms != world.endpoints[i].born_ms)
+    if (f->is.born_ms != world.endpoints[i].started_ms)
       model_fail ("a restart is not noticed", f->is.born_ms);
   }
 }
@@ -98,14 +99,14 @@
   int i;
 
   world_begin (model, false);
-  world.lives = true;
+  world.with_restarts = true;
   world.nendpoints = ENDPOINTS;
   for (i = 0; i < ENDPOINTS; i++)
     highest[i] = 0;
-  if (world_is_off (OFF_FALL))
+  if (world_is_off (OFF_LOWER_VERSION))
     world.after = never_lower;
-  world_name (world.now_us, 2);
-  world_name (world.now_us + SECOND_US, 3);
+  world_announce (world.now_us, 2);
+  world_announce (world.now_us + SECOND_US, 3);
   world_start (&world.vms[0]);
   world_at (world.now_us, 0, send_requests);
   world_run (world.now_us + RUN_US);
@@ -114,9 +115,11 @@
   world_end ();
 }
 
-const struct model_case model_lives_cases[] = {
+const struct model_case model_restart_cases[] = {
   { "nothing", run, 0, 2, 1 },
-  { "a report may lower the known weight version", run, OFF_FALL, 2, 1 },
-  { "a refusal without a version makes it uncertain", run, OFF_DOUBT, 2, 1 },
+  { "a report may lower the known weight version", run, OFF_LOWER_VERSION, 2,
+    1 },
+  { "a refusal without a version makes it uncertain", run, OFF_UNCERTAIN, 2,
+    1 },
   { NULL, NULL, 0, 0, 0 },
 };
--- a/regress/modelnamed.c
+++ b/regress/modelnamed.c
@@ -58,7 +58,8 @@
 static void
 check_newest (const struct vm *v)
 {
-  const struct world_naming *last = &world.namings[world.nnamings - 1];
+  const struct world_announcement *last
+      = &world.announcements[world.nannouncements - 1];
   int64_t since = fleet_not_before (&v->fleet, "m", last->version);
 
   if (since > last->at_us + SLACK_US)
@@ -74,7 +75,7 @@
   int64_t since = fleet_outdated_since (&v->fleet, e);
   int64_t soon = announced_us + OLD_MAX_US - EARLY_MAX_US;
 
-  if (n == NULL || v->began_us > announced_us - SETTLED_US
+  if (n == NULL || v->started_us > announced_us - SETTLED_US
       || n->heard_us > announced_us + CQ_US_PER_S)
     return;
   if (fleet_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
@@ -89,7 +90,7 @@
 check_known (const struct vm *v)
 {
   const struct fleet_endpoint *e = some_endpoint (v);
-  int64_t known_us = MAX (v->began_us, announced_us) + KNOWN_US;
+  int64_t known_us = MAX (v->started_us, announced_us) + KNOWN_US;
 
   if (world.now_us >= known_us && fleet_outdated_by (&v->fleet, e) != NULL
       && fleet_outdated_since (&v->fleet, e) == FLEET_NEVER)
@@ -103,7 +104,7 @@
   const struct vm *v;
 
   for (v = world.vms; v < world.vms + WORLD_VMS; v++)
-    if (v->up && v->began_us <= announced_us - SETTLED_US)
+    if (v->up && v->started_us <= announced_us - SETTLED_US)
       return true;
   return false;
 }
@@ -121,7 +122,7 @@
     return;
   if (world_is_off (OFF_SINCE))
     fleet_named_since (&v->fleet, "m", n->version, n->heard_us);
-  if (world_is_off (OFF_MARKS) && n->heard_us == world.now_us)
+  if (world_is_off (OFF_ANSWER_BOUNDS) && n->heard_us == world.now_us)
     w->nfacts = 0;
 }
 
@@ -131,7 +132,7 @@
   struct vm *v;
   int i;
 
-  if (world.nnamings < 2)
+  if (world.nannouncements < 2)
     return;
   for (i = 0; i < WORLD_VMS && !model_has_failed (); i++)
     {
@@ -217,13 +218,13 @@
   world.endless = true;
   world.calm = true;
   only_newest = false;
-  world_name (world.now_us, 1);
+  world_announce (world.now_us, 1);
   world_at (world.now_us, -1, start_first);
   world_at (world.now_us + 700 * MS, -1, start_second);
   settled = world.now_us + SETTLED_US + CQ_US_PER_S;
   world_at (settled - 2500 * MS, -1, allow_faults);
   announced_us = settled + (int64_t)model_pick (4) * (550 * MS);
-  world_name (announced_us, 2);
+  world_announce (announced_us, 2);
 }
 
 static void
@@ -241,7 +242,7 @@
 {
   begin (model);
   plan_restarts (announced_us);
-  world_name (announced_us + SECOND_US, 3);
+  world_announce (announced_us + SECOND_US, 3);
   world_run (announced_us + RUN_US);
   world_end ();
 }
@@ -254,18 +255,18 @@
   begin (model);
   only_newest = true;
   plan_restarts (announced_us + SECOND_US);
-  world_name (announced_us + SECOND_US, 3);
+  world_announce (announced_us + SECOND_US, 3);
   world_run (announced_us + SECOND_US + RUN_US);
   world_end ();
 }
 
-const struct model_case model_named_cases[] = {
+const struct model_case model_announcement_cases[] = {
   { "nothing, and nothing fails", run, 0, 0, 2 },
   { "nothing", run, 0, 1, 2 },
   { "nothing, while the holder gives orders", run_second, 0, 1, 2 },
   { "time counts from the announcement", run, OFF_SINCE, 1, 2 },
-  { "the row has the times of announcements", run, OFF_RECORD, 1, 2 },
-  { "answers say what was not announced yet", run, OFF_MARKS, 1, 2 },
+  { "the row has the times of announcements", run, OFF_ROW_TIMES, 1, 2 },
+  { "answers say what was not announced yet", run, OFF_ANSWER_BOUNDS, 1, 2 },
   { NULL, NULL, 0, 0, 0 },
 };
 
--- a/regress/modelstore.c
+++ b/regress/modelstore.c
@@ -38,7 +38,7 @@
     r->row.order_until_ms = 0;
   if (world_is_off (OFF_BEGIN))
     r->row.begin_ms = 0;
-  if (world_is_off (OFF_RECORD))
+  if (world_is_off (OFF_ROW_TIMES))
     r->row.nannouncements = 0;
 }
 
@@ -62,9 +62,9 @@
 
 enum read_way
 {
-  READ_REFUSED = WORLD_LEAVE_WAYS, /* not done */
-  READ_LOST,                       /* no answer */
-  READ_SLOW,                       /* done, answered late */
+  READ_REFUSED = WORLD_SEND_WAYS, /* not done */
+  READ_LOST,                      /* no answer */
+  READ_SLOW,                      /* done, answered late */
   READ_WAYS
 };
 
@@ -75,7 +75,7 @@
   int way = world_fault (v, READ_WAYS);
   struct event *e;
 
-  if (!world_leaves (v, way < WORLD_LEAVE_WAYS ? way : 0))
+  if (!world_send_call (v, way < WORLD_SEND_WAYS ? way : 0))
     return;
   e = answer_after (v, CALL_US, done, arg);
   fill_reply (&e->reply, v->index);
@@ -111,11 +111,11 @@
 
 enum write_way
 {
-  WRITE_REFUSED = WORLD_LEAVE_WAYS, /* not done */
-  WRITE_LOST,                       /* not done, no answer */
-  WRITE_ANSWER_LOST,                /* done, no answer */
-  WRITE_LATE,                       /* done later if it still can be */
-  WRITE_SLOW,                       /* done, answered late */
+  WRITE_REFUSED = WORLD_SEND_WAYS, /* not done */
+  WRITE_LOST,                      /* not done, no answer */
+  WRITE_ANSWER_LOST,               /* done, no answer */
+  WRITE_LATE,                      /* done later if it still can be */
+  WRITE_SLOW,                      /* done, answered late */
   WRITE_WAYS
 };
 
@@ -142,10 +142,10 @@
   int way = world_fault (v, WRITE_WAYS);
   struct event *e, *late;
 
-  if (way >= WORLD_LEAVE_WAYS)
+  if (way >= WORLD_SEND_WAYS)
     model_note ("%5d vm %c's write is %s\n", world_ms (), 'a' + v->index,
-                names[way - WORLD_LEAVE_WAYS]);
-  if (!world_leaves (v, way < WORLD_LEAVE_WAYS ? way : 0))
+                names[way - WORLD_SEND_WAYS]);
+  if (!world_send_call (v, way < WORLD_SEND_WAYS ? way : 0))
     return;
   e = answer_after (v, way == WRITE_SLOW ? SLOW_US : CALL_US, done, arg);
   if (way == WRITE_REFUSED)
@@ -182,11 +182,11 @@
 append_announcement (const struct event *e, GArray *items)
 {
   struct news_item it = { .kind = NEWS_WANTED };
-  const struct world_naming *last;
+  const struct world_announcement *last;
 
-  if (e->naming < 0)
+  if (e->announcement < 0)
     return;
-  last = &world.namings[e->naming];
+  last = &world.announcements[e->announcement];
   if (last->change <= e->after)
     return;
   it.row = last->change;
@@ -237,7 +237,7 @@
   struct event *a = world_at (world.now_us + CALL_US / 2 + late_us,
                               e->is.running, answer_poll);
 
-  a->life = e->life;
+  a->incarnation = e->incarnation;
   a->news = e->news;
   a->arg = e->arg;
   a->source = e->source;
@@ -245,7 +245,7 @@
   a->reply.code = LEASE_OK;
   a->reply.version = world.changes;
   a->reply.store_ms = world.now_us / MS;
-  a->naming = world.nnamings - 1;
+  a->announcement = world.nannouncements - 1;
 }
 
 /* A poll ended, by its wait or by an announcement. */
@@ -258,8 +258,8 @@
 static bool
 is_poll_ready (const struct event *e)
 {
-  return e->source == FOLLOW_OPERATOR && world.nnamings > 0
-         && world.namings[world.nnamings - 1].change > e->after;
+  return e->source == FOLLOW_OPERATOR && world.nannouncements > 0
+         && world.announcements[world.nannouncements - 1].change > e->after;
 }
 
 void
@@ -304,7 +304,7 @@
     {
       e = world_at (world.now_us + CALL_US / 2 + wait_us, -1, end_poll);
       e->is.running = v->index;
-      e->life = v->life;
+      e->incarnation = v->incarnation;
       e->came_us = world.now_us + CALL_US / 2;
       e->late_us = way == POLL_LATE ? SLOW_US : 0;
     }
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -84,7 +84,7 @@
   e->at_us = at_us;
   e->number = world.numbers++;
   e->vm = vm;
-  e->life = vm >= 0 ? world.vms[vm].life : 0;
+  e->incarnation = vm >= 0 ? world.vms[vm].incarnation : 0;
   e->run = run;
   g_ptr_array_add (world.events, e);
   return e;
@@ -154,7 +154,7 @@
   struct vm *v = e->vm >= 0 ? &world.vms[e->vm] : NULL;
 
   g_ptr_array_remove_fast (world.events, e);
-  if (v == NULL || (v->up && !v->dying && v->life == e->life))
+  if (v == NULL || (v->up && !v->dying && v->incarnation == e->incarnation))
     e->run (e);
   g_free (e);
 }
@@ -228,7 +228,7 @@
 }
 
 bool
-world_leaves (struct vm *v, int way)
+world_send_call (struct vm *v, int way)
 {
   if (v->dying)
     return false;
@@ -263,7 +263,7 @@
   l->id[0] = (char)('0' + endpoint);
   g_strlcpy (l->model, "m", sizeof l->model);
   l->version = world.endpoints[endpoint].version;
-  l->born_ms = world.endpoints[endpoint].born_ms;
+  l->born_ms = world.endpoints[endpoint].started_ms;
   l->slots = 4;
 }
 
@@ -292,7 +292,7 @@
 static uint64_t
 seed_of (const struct vm *v)
 {
-  return (uint64_t)v->index * 10 + (uint64_t)v->life;
+  return (uint64_t)v->index * 10 + (uint64_t)v->incarnation;
 }
 
 static void
@@ -331,11 +331,11 @@
 static void
 see_announcement_now (struct vm *v)
 {
-  const struct world_naming *n;
+  const struct world_announcement *n;
 
-  if (world.nnamings == 0)
+  if (world.nannouncements == 0)
     return;
-  n = &world.namings[world.nnamings - 1];
+  n = &world.announcements[world.nannouncements - 1];
   fleet_take_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
   orders_check (v->orders, world.now_us);
 }
@@ -343,10 +343,10 @@
 void
 world_start (struct vm *v)
 {
-  v->life++;
+  v->incarnation++;
   v->up = true;
   v->frozen_us = 0;
-  v->began_us = world.now_us;
+  v->started_us = world.now_us;
   fleet_init (&v->fleet);
   list_endpoints (v);
   make_orders (v);
@@ -399,11 +399,11 @@
 static void
 add_announcement (struct event *e)
 {
-  struct world_naming n = { world.now_us, e->expected, ++world.changes };
+  struct world_announcement n = { world.now_us, e->expected, ++world.changes };
   int i;
 
   model_note ("%5d version %d is announced\n", world_ms (), (int)n.version);
-  world.namings[world.nnamings++] = n;
+  world.announcements[world.nannouncements++] = n;
   world_wake_polls ();
   for (i = 0; i < WORLD_VMS && !world.follows; i++)
     if (world.vms[i].up)
@@ -411,7 +411,7 @@
 }
 
 void
-world_name (int64_t at_us, int64_t version)
+world_announce (int64_t at_us, int64_t version)
 {
   world_at (at_us, -1, add_announcement)->expected = version;
 }
@@ -429,13 +429,13 @@
              void *arg)
 {
   struct vm *v = ctx;
-  int ways = world.follows || world.lives ? 1 : WORLD_LEAVE_WAYS + 1;
+  int ways = world.follows || world.with_restarts ? 1 : WORLD_SEND_WAYS + 1;
   int way = world_fault (v, ways);
-  bool lost = way == WORLD_LEAVE_WAYS;
+  bool lost = way == WORLD_SEND_WAYS;
   struct world_endpoint *w;
   struct event *e;
 
-  if (!world_leaves (v, lost ? 0 : way))
+  if (!world_send_call (v, lost ? 0 : way))
     return;
   w = &world.endpoints[f->is.id[0] - '0'];
   e = world_at (world.now_us + (lost ? 400 * MS : 2 * TRAVEL_US), v->index,
@@ -446,7 +446,7 @@
   e->is.seq = w->seq;
   e->is.version = w->version;
   e->is.busy = w->busy;
-  e->is.started_ms = w->born_ms;
+  e->is.started_ms = w->started_ms;
 }
 
 static void
@@ -474,11 +474,11 @@
   int i;
 
   /* A load ends with the incarnation that began it. */
-  if (w->born_ms != e->expected)
+  if (w->started_ms != e->expected)
     return;
   w->busy = false;
   w->version = e->load.version;
-  if (world.lives && model_fault (2))
+  if (world.with_restarts && model_fault (2))
     world_at (world.now_us + RESTART_US, -1, restart_now)->endpoint
         = e->endpoint;
   for (i = 0; i < WORLD_VMS; i++)
@@ -522,7 +522,7 @@
 
   /* With restarts only one VM gives orders, and an order that is carried out
      late had arrived in time. */
-  if (!world.lives)
+  if (!world.with_restarts)
     check_order (e);
   if (w->busy || e->load.seq != w->seq)
     return;
@@ -533,7 +533,7 @@
   end = world_at (world.now_us + LOAD_US, -1, end_load);
   end->endpoint = e->endpoint;
   end->load = e->load;
-  end->expected = w->born_ms;
+  end->expected = w->started_ms;
 }
 
 static void
@@ -554,7 +554,7 @@
   int i;
 
   model_note ("%5d endpoint %d restarts\n", world_ms (), endpoint);
-  w->born_ms++;
+  w->started_ms++;
   w->seq = 0;
   w->busy = false;
   for (i = 0; i < WORLD_VMS; i++)
@@ -617,24 +617,24 @@
        bool (*may_send) (void *arg), order_done done, void *arg)
 {
   struct vm *v = ctx;
-  int way = world.lives
+  int way = world.with_restarts
                 ? 0
-                : world_fault (v, world.follows ? 1 : WORLD_LEAVE_WAYS + 2);
-  bool lost = way == WORLD_LEAVE_WAYS, late = way > WORLD_LEAVE_WAYS;
+                : world_fault (v, world.follows ? 1 : WORLD_SEND_WAYS + 2);
+  bool lost = way == WORLD_SEND_WAYS, late = way > WORLD_SEND_WAYS;
   struct event *e;
 
-  if (world.lives)
+  if (world.with_restarts)
     {
       order_with_restarts (v, f->is.id[0] - '0', o, done, arg);
       return;
     }
-  if (!world_leaves (v, way < WORLD_LEAVE_WAYS ? way : 0))
+  if (!world_send_call (v, way < WORLD_SEND_WAYS ? way : 0))
     return;
   e = world_at (world.now_us + 2 * TRAVEL_US, v->index, answer_order);
   e->order = done;
   e->arg = arg;
   e->code = ORDER_ACCEPTED;
-  if (!world_is_off (OFF_LAST_LOOK) && !may_send (arg))
+  if (!world_is_off (OFF_LAST_CHECK) && !may_send (arg))
     {
       e->code = ORDER_REJECTED;
       return;
@@ -671,7 +671,7 @@
   for (i = 0; i < WORLD_ENDPOINTS; i++)
     {
       world.endpoints[i].version = 1;
-      world.endpoints[i].born_ms = 1;
+      world.endpoints[i].started_ms = 1;
     }
 }
 
--- a/regress/modelworld.h
+++ b/regress/modelworld.h
@@ -27,16 +27,16 @@
   OFF_BEGIN = 4,   /* the row says from when its holder may order */
   OFF_SAME_VM = 8, /* only incarnations of one VM continue without the gap */
   OFF_PRECONDITION = 16, /* a write names the row's version */
-  OFF_LAST_LOOK = 32,    /* the lease is checked before the first byte */
+  OFF_LAST_CHECK = 32,   /* the lease is checked before the first byte */
   OFF_ACKNOWLEDGED = 64, /* only acknowledged writes count */
   OFF_STORE_CLOCK = 128, /* one clock counts, the store's */
   OFF_SINCE = 256, /* outdated weights are accepted for a time counted from the
                       announcement, not from when it was seen */
-  OFF_RECORD = 512, /* the row contains the times of announcements */
-  OFF_MARKS = 1024, /* answers tell what was not yet announced */
-  OFF_FALL = 2048,  /* a report may lower the known weight version */
-  OFF_DOUBT = 4096  /* a refusal without a weight version makes the known
-                       version uncertain */
+  OFF_ROW_TIMES = 512,      /* the row contains the times of announcements */
+  OFF_ANSWER_BOUNDS = 1024, /* answers tell what was not yet announced */
+  OFF_LOWER_VERSION = 2048, /* a report may lower the known weight version */
+  OFF_UNCERTAIN = 4096 /* a refusal without a weight version makes the known
+                      version uncertain */
 };
 
 struct vm;
@@ -52,12 +52,12 @@
 struct vm
 {
   int index;             /* index in world.vms */
-  int life;              /* incarnations so far */
+  int incarnation;       /* incarnations so far */
   bool up;               /* it runs */
   bool dying;            /* this incarnation ends with the current step */
   bool inside;           /* it is frozen in the middle of a step */
   int64_t frozen_us;     /* it is frozen until then */
-  int64_t began_us;      /* start of this incarnation */
+  int64_t started_us;    /* start of this incarnation */
   struct loop loop;      /* its timers */
   struct fleet fleet;    /* its view of the endpoints */
   struct orders *orders; /* its orders module */
@@ -68,21 +68,21 @@
 /* An endpoint. */
 struct world_endpoint
 {
-  int64_t seq;     /* orders taken */
-  int64_t version; /* version of its weights */
-  bool busy;       /* it loads weights */
-  int64_t born_ms; /* start of this incarnation */
+  int64_t seq;        /* orders taken */
+  int64_t version;    /* version of its weights */
+  bool busy;          /* it loads weights */
+  int64_t started_ms; /* start of this incarnation */
 };
 
 /* An announced version. */
-struct world_naming
+struct world_announcement
 {
   int64_t at_us;   /* when the store received it */
   int64_t version; /* the version */
   int64_t change;  /* the store's count of changes then */
 };
 
-#define WORLD_NAMINGS 3
+#define WORLD_ANNOUNCEMENTS 3
 
 /* A scheduled event. */
 struct event
@@ -90,7 +90,7 @@
   int64_t at_us;                 /* time of the event */
   unsigned number;               /* order among events at the same time */
   int vm;                        /* VM that the event concerns, or -1 */
-  int life;                      /* incarnation of that VM */
+  int incarnation;               /* incarnation of that VM */
   void (*run) (struct event *e); /* callback of the event */
   lease_done lease;              /* callback of a call about the row */
   state_done state;              /* callback of a state query */
@@ -105,7 +105,7 @@
   enum order_code code;          /* outcome of the order */
   int endpoint;                  /* endpoint that the event concerns */
   enum follow_source source;     /* source that is polled */
-  int naming;                    /* newest announcement in the answer, or -1 */
+  int announcement;              /* newest announcement in the answer, or -1 */
   int64_t after;   /* the poll asks for changes after this one; -1: all */
   int64_t came_us; /* when the poll reached the store */
   int64_t late_us; /* additional delay of the answer */
@@ -117,7 +117,7 @@
   bool follows;                   /* VMs poll the store for announcements */
   bool calm;                      /* no faults are injected for now */
   bool endless;                   /* loads do not end within the run */
-  bool lives;               /* endpoints restart and orders arrive late */
+  bool with_restarts;       /* endpoints restart and orders arrive late */
   int64_t now_us;           /* simulated time */
   unsigned numbers;         /* number of events so far */
   int nested;               /* depth of steps in which a VM is frozen */
@@ -128,8 +128,9 @@
   int64_t changes;          /* count of changes of the store */
   struct world_endpoint endpoints[WORLD_ENDPOINTS]; /* all */
   int nendpoints;                                   /* number of endpoints */
-  struct world_naming namings[WORLD_NAMINGS]; /* announcements in order */
-  int nnamings;                               /* announcements so far */
+  struct world_announcement
+      announcements[WORLD_ANNOUNCEMENTS]; /* announcements in order */
+  int nannouncements;                     /* announcements so far */
   int last_vm;          /* VM whose order arrived last, or -1 */
   int64_t last_us;      /* when that order arrived */
   int64_t last_fence;   /* highest fencing token so far */
@@ -147,7 +148,7 @@
 void world_start (struct vm *v);
 void world_kill (struct vm *v, int64_t back_us);
 /* Announces VERSION at AT_US. */
-void world_name (int64_t at_us, int64_t version);
+void world_announce (int64_t at_us, int64_t version);
 struct event *world_at (int64_t at_us, int vm, void (*run) (struct event *e));
 /* Milliseconds since the run began, for notes. */
 int world_ms (void);
@@ -169,7 +170,7 @@
 void world_follow_ops (struct follow_ops *ops);
 /* The VM that makes a call may be frozen or end before the call is sent;
    returns false if it is not sent. */
-bool world_leaves (struct vm *v, int way);
-#define WORLD_LEAVE_WAYS 6
+bool world_send_call (struct vm *v, int way);
+#define WORLD_SEND_WAYS 6
 
 #endif
