--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -30,11 +30,10 @@
 /* Safeguards that a case may switch off, and what it may add. */
 enum keys_off
 {
-  OFF_AGE = 1, /* settings that are too old admit nothing */
-  OFF_ANSWER_TIME
-  = 2,             /* their age counts from the answer, not from its arrival */
-  OFF_RECHECK = 4, /* the age is checked again before the first byte */
-  OFF_MARGIN = 8,  /* that check leaves enough time for the byte to leave */
+  OFF_AGE = 1,         /* settings that are too old admit nothing */
+  OFF_ANSWER_TIME = 2, /* their age counts from the answer */
+  OFF_RECHECK = 4,     /* the age is checked again before the first byte */
+  OFF_MARGIN = 8,    /* that check leaves enough time for the byte to leave */
   WITH_JUMPS = 1024, /* the platform's clock may jump */
   EVACUATION = 2048  /* a domain is evacuated, and no key is revoked */
 };
