--- a/Makefile
+++ b/Makefile
@@ -70,7 +70,7 @@
 	regress/test-relay.o regress/test-orders.o regress/test-follow.o \
 	regress/test-parts.o regress/test-xfer.o regress/test-share.o \
 	regress/test-headers.o regress/test-fresh.o regress/test-steps.o \
-	regress/test-lives.o regress/test-load.o regress/test-admit.o \
+	regress/test-incarnations.o regress/test-load.o regress/test-admit.o \
 	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-homes.o regress/test-evac.o regress/test-relayquar.o regress/relayplay.o
 
 regress/test-units: $(UNITS) libplatform.a librelay.a libserver.a libwire.a libdecide.a
@@ -78,8 +78,8 @@
 		libwire.a libdecide.a $(LIBS)
 
 MODEL = regress/model.o regress/modelworld.o regress/modelstore.o \
-	regress/modellease.o regress/modelnamed.o regress/modelkeys.o \
-	regress/modellives.o
+	regress/modellease.o regress/modelannounce.o regress/modelkeys.o \
+	regress/modelrestart.o
 
 # The deciding code in played time: regress/modelworld.c stands for loop and
 # log.
