--- a/regress/test-incarnations.c
+++ b/regress/test-incarnations.c
@@ -259,7 +259,7 @@
   fleet_clear (&f);
 }
 
-const struct unit lives_units[] = {
+const struct unit incarnation_units[] = {
   { "/incarnations/started-again", test_started_again },
   { "/incarnations/late-entry", test_late_entry },
   { "/incarnations/no-start-time", test_no_start_time },
--- a/regress/units.h
+++ b/regress/units.h
@@ -21,7 +21,7 @@
 extern const struct unit xfer_units[];
 extern const struct unit header_units[];
 extern const struct unit steps_units[];
-extern const struct unit lives_units[];
+extern const struct unit incarnation_units[];
 extern const struct unit load_units[];
 extern const struct unit admit_units[];
 extern const struct unit cold_units[];
