--- a/Makefile
+++ b/Makefile
@@ -81,7 +81,7 @@
 	regress/modellease.o regress/modelannounce.o regress/modelkeys.o \
 	regress/modelrestart.o
 
-# The deciding code in played time: regress/modelworld.c stands for loop and
+# The deciding code in simulated time: regress/modelworld.c replaces loop and
 # log.
 regress/model: $(MODEL) met.o librelay.a libdecide.a
 	$(CC) $(CFLAGS) -o $@ $(MODEL) librelay.a met.o libdecide.a $(LIBS)
