--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o loadgossip.o loadgossipwire.o sse.o relay.o relaytry.o \
 	relayadmit.o relaywork.o relayquar.o relaycrash.o reqid.o quar.o \
 	quarwire.o quarfeed.o follow.o \
-	lease.o naming.o orders.o parts.o partfeed.o evac.o
+	lease.o announce.o orders.o parts.o partfeed.o evac.o
 # The users' platform; translates only.
 PLATFORM = platform/answered.o platform/asked.o platform/decode.o platform/duty.o \
 	platform/engine.o platform/ingress.o platform/json.o platform/kvstore.o platform/notice.o \
@@ -70,7 +70,7 @@
 	regress/test-relay.o regress/test-orders.o regress/test-follow.o \
 	regress/test-parts.o regress/test-xfer.o regress/test-share.o \
 	regress/test-headers.o regress/test-fresh.o regress/test-steps.o \
-	regress/test-lives.o regress/test-load.o regress/test-admit.o \
+	regress/test-incarnations.o regress/test-load.o regress/test-admit.o \
 	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-homes.o regress/test-evac.o regress/test-relayquar.o regress/relayplay.o
 
 regress/test-units: $(UNITS) libplatform.a librelay.a libserver.a libwire.a libdecide.a
@@ -78,10 +78,10 @@
 		libwire.a libdecide.a $(LIBS)
 
 MODEL = regress/model.o regress/modelworld.o regress/modelstore.o \
-	regress/modellease.o regress/modelnamed.o regress/modelkeys.o \
-	regress/modellives.o
+	regress/modellease.o regress/modelannounce.o regress/modelkeys.o \
+	regress/modelrestart.o
 
-# The deciding code in played time: regress/modelworld.c stands for loop and
+# The deciding code in simulated time: regress/modelworld.c replaces loop and
 # log.
 regress/model: $(MODEL) met.o librelay.a libdecide.a
 	$(CC) $(CFLAGS) -o $@ $(MODEL) librelay.a met.o libdecide.a $(LIBS)
