--- a/entry.c
+++ b/entry.c
@@ -312,17 +312,17 @@
   entry_adapter.engine_ops (&o.engine, e->worker->pool);
   o.parts = &e->parts;
   o.loads = e->book;
-  o.worked = on_worked;
-  o.worked_arg = e;
+  o.on_work_changed = on_worked;
+  o.work_arg = e;
   o.quar = e->quar;
   o.clock_ms = platform_ms;
-  o.observed = on_observed;
-  o.evidence_known = is_evidence_known;
-  o.suspect_turn = has_suspect_turn;
+  o.on_evidence = on_observed;
+  o.is_evidence_known = is_evidence_known;
+  o.may_run_suspect = has_suspect_turn;
   o.quar_arg = e;
   o.domain = vm->domain;
-  o.stale_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
-  o.deny_us = deny_us (e->cfg);
+  o.key_max_age_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
+  o.denial_max_age_us = deny_us (e->cfg);
   o.retry_percent = (int)e->cfg->retry_percent;
   o.retry_burst = (int)e->cfg->retry_burst;
   o.stream_buffer = (size_t)vm->stream_buffer_kb * 1024;
@@ -336,7 +336,8 @@
 make_tell (struct entry *e)
 {
   const struct cfg_vm *vm = cfg_vm (e->settings);
-  struct tell_opts o = { .loop = e->worker->loop, .gather = relays_gather };
+  struct tell_opts o
+      = { .loop = e->worker->loop, .gather = relays_collect_load };
 
   if (e->cfg->tell[0] == '\0')
     return true;
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -221,7 +221,7 @@
     return false;
   if (!faulty && relay_is_stale (&r, world.now_us))
     model_fail ("knowledge too old though all went well", 0);
-  return !relay_is_stale (&r, world.now_us) && !relay_key_is_gone (&r)
+  return !relay_is_stale (&r, world.now_us) && !relay_is_key_revoked (&r)
          && !fleet_is_evacuated (f, DOMAIN);
 }
 
@@ -278,11 +278,11 @@
   o.current_us = 3000 * MS;
   v->follow = follow_new (&o);
   relays.opts.fleet = &v->fleet;
-  relays.opts.stale_us = BOUND_US - MARGIN_US;
+  relays.opts.key_max_age_us = BOUND_US - MARGIN_US;
   if (world_is_off (OFF_MARGIN))
-    relays.opts.stale_us = BOUND_US;
+    relays.opts.key_max_age_us = BOUND_US;
   if (world_is_off (OFF_AGE))
-    relays.opts.stale_us = 1000 * BOUND_US;
+    relays.opts.key_max_age_us = 1000 * BOUND_US;
   follow_start (v->follow);
   world_at (world.now_us, 0, arrive);
 }
--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -10,7 +10,7 @@
 /* --- the played engine ----------------------------------------------- */
 
 static void *
-engine_send (void *ctx, const struct relay_send *s,
+engine_send (void *ctx, const struct relay_attempt *s,
              const struct relay_events *events, void *arg)
 {
   struct play *p = ctx;
@@ -20,7 +20,7 @@
   p->event = events;
   p->arg = arg;
   p->resume_after = s->resume_after;
-  p->left_us = s->left_us;
+  p->left_us = s->timeout_us;
   g_strlcpy (p->scope, s->cache_scope ? s->cache_scope : "", sizeof p->scope);
   return p;
 }
@@ -208,9 +208,9 @@
 play_new (enum fleet_kind kind)
 {
   struct play *p = g_new0 (struct play, 1);
-  struct relays_opts o = { .domain = "d", .stale_us = PLAY_STALE_US };
+  struct relays_opts o = { .domain = "d", .key_max_age_us = PLAY_STALE_US };
 
-  o.deny_us = PLAY_DENY_US;
+  o.denial_max_age_us = PLAY_DENY_US;
 
   p->loop = loop_new ();
   fleet_init (&p->fleet);
@@ -230,8 +230,8 @@
   p->evidence_known = true;
   o.quar = p->quar;
   o.clock_ms = clock_ms;
-  o.observed = on_observed;
-  o.evidence_known = is_evidence_known;
+  o.on_evidence = on_observed;
+  o.is_evidence_known = is_evidence_known;
   o.quar_arg = p;
   o.retry_percent = 10;
   o.retry_burst = 4;
--- a/regress/test-headers.c
+++ b/regress/test-headers.c
@@ -232,7 +232,7 @@
   answer (&a, lines, 421);
   g_assert_false (a.head.genuine);
   g_assert_false (a.head.not_run);
-  g_assert_true (a.head.other_life);
+  g_assert_true (a.head.other_incarnation);
   panswered_clear (&a);
 }
 
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -225,7 +225,7 @@
   struct play *p = play_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
-  h.other_life = true;
+  h.other_incarnation = true;
   h.notice.limit_said = true;
   h.notice.limit_milli = 1000;
   h.lines = play_seal;
--- a/regress/test-quar.c
+++ b/regress/test-quar.c
@@ -372,13 +372,13 @@
 
   o.quar = q;
   o.clock_ms = clock_ms;
-  o.observed = on_observed;
+  o.on_evidence = on_observed;
   c = relaycrash_new (&o);
   for (i = 1; i <= 40; i++)
     {
       id = id_of (i);
-      relaycrash_broke (c, &e, &id, (i == 40 ? 50 : 500 + i) * INT64_C (1000),
-                        loop_now_us ());
+      relaycrash_report (c, &e, &id, (i == 40 ? 50 : 500 + i) * INT64_C (1000),
+                         loop_now_us ());
     }
   probe.done (probe.arg, RELAY_PROBE_CRASHED, NULL);
   quar_own (q, facts, G_MAXUINT);
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -117,10 +117,10 @@
   struct play *p = play_new (FLEET_IDEMPOTENT);
   int64_t now = loop_now_us ();
 
-  relay_too_large (p->relays, &p->desc, now);
+  relay_refuse_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_TOO_LARGE);
   p->fleet.fresh_us = 0;
-  relay_too_large (p->relays, &p->desc, now);
+  relay_refuse_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   play_free (p);
 }
@@ -193,7 +193,7 @@
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.lines = play_seal;
-  h.other_life = true;
+  h.other_incarnation = true;
   play_route (p)->max_attempts = 1;
   play_start (p);
   play_answer_head (p, &h);
@@ -213,7 +213,7 @@
   int i;
 
   h.lines = play_seal;
-  h.other_life = true;
+  h.other_incarnation = true;
   for (i = 0; i < PICK_EXCLUDE_MAX; i++, id[0]++)
     play_add_endpoint (p, id);
   play_start (p);
@@ -380,7 +380,7 @@
 
   play_start (p);
   g_assert_cmpstr (p->scope, ==, "m.v3.ws");
-  relay_caller_gone (p->relay);
+  relay_caller_disconnected (p->relay);
   g_assert_cmpint (p->cancels, ==, 1);
   play_free (p);
 }
@@ -471,7 +471,7 @@
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->left_us, >, 0);
   g_assert_cmpint (p->left_us, <=, 4 * CQ_US_PER_S);
-  relay_caller_gone (p->relay);
+  relay_caller_disconnected (p->relay);
   play_free (p);
 }
 
@@ -515,7 +515,7 @@
       if (p->sends > 0)
         {
           sent++;
-          relay_caller_gone (p->relay);
+          relay_caller_disconnected (p->relay);
           continue;
         }
       g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -610,11 +610,11 @@
 
   p->desc.deadline_us = loop_now_us () + hour;
   play_start (p);
-  relay_caller_gone (p->relay);
+  relay_caller_disconnected (p->relay);
   p->desc.deadline_us = loop_now_us () + play_route (p)->timeout_us;
   play_start (p);
   g_assert_cmpint (p->relay->rank, <, ADMIT_RANKS / 2);
-  relay_caller_gone (p->relay);
+  relay_caller_disconnected (p->relay);
   play_free (p);
 }
 
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -104,7 +104,7 @@
   const struct relay_events *event;
   void *arg;
 
-  p->relays->opts.suspect_turn = has_turn;
+  p->relays->opts.may_run_suspect = has_turn;
   accuse (p, "ws", 3);
   play_start (p);
   g_assert_cmpint (p->sends, ==, 0);
@@ -138,7 +138,7 @@
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  p->relays->opts.suspect_turn = has_turn;
+  p->relays->opts.may_run_suspect = has_turn;
   play_start (p);
   accuse (p, "ws", 3);
   g_assert_false (p->event->before_send (p->arg));
@@ -154,7 +154,7 @@
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  p->relays->opts.suspect_turn = has_turn;
+  p->relays->opts.may_run_suspect = has_turn;
   p->turn = true;
   accuse (p, "ws", 3);
   play_start (p);
@@ -184,7 +184,7 @@
 /* A request's answer breaks off; the endpoint is asked once, and PROBE is what
    that shows.  Returns whether it became evidence. */
 static bool
-break_off (struct play *p, enum relay_probe probe)
+break_off (struct play *p, enum relay_probe_result probe)
 {
   struct reqid id;
 
@@ -207,7 +207,7 @@
 static void
 test_end_is_asked (void)
 {
-  static const enum relay_probe probes[]
+  static const enum relay_probe_result probes[]
       = { RELAY_PROBE_ALIVE, RELAY_PROBE_SILENT, RELAY_PROBE_CRASHED };
   struct play *p;
   size_t i;
@@ -281,7 +281,7 @@
 
   play_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  g_assert_false (p->relay->identified);
+  g_assert_false (p->relay->has_identity);
   play_head (p, 200);
   play_body (p, "a");
   play_end (p, true, true);
--- a/relay.c
+++ b/relay.c
@@ -17,9 +17,9 @@
 
 /* A step of splitmix64. */
 uint64_t
-relay_draw (struct relays *rs)
+relay_random (struct relays *rs)
 {
-  uint64_t z = rs->random += UINT64_C (0x9E3779B97F4A7C15);
+  uint64_t z = rs->random_state += UINT64_C (0x9E3779B97F4A7C15);
 
   z = (z ^ (z >> 30)) * UINT64_C (0xBF58476D1CE4E5B9);
   z = (z ^ (z >> 27)) * UINT64_C (0x94D049BB133111EB);
@@ -53,7 +53,7 @@
 }
 
 bool
-relay_repeatable (const struct relay *r)
+relay_is_repeatable (const struct relay *r)
 {
   switch (r->route->kind)
     {
@@ -77,12 +77,13 @@
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  return !r->route->anonymous && fleet_age_us (o->fleet, now_us) > o->stale_us;
+  return !r->route->anonymous
+         && fleet_age_us (o->fleet, now_us) > o->key_max_age_us;
 }
 
 /* Whether the key still opens the route by the newest configuration. */
 bool
-relay_key_is_gone (const struct relay *r)
+relay_is_key_revoked (const struct relay *r)
 {
   const struct fleet_conf *now = r->rs->opts.fleet->conf;
 
@@ -108,15 +109,15 @@
 }
 
 void
-relay_leave (struct relay *r, int64_t now_us)
+relay_release_endpoint (struct relay *r, int64_t now_us)
 {
   if (r->endpoint == NULL)
     return;
-  relay_read (r, now_us);
+  relay_prefill_done (r, now_us);
   pick_ended (r->endpoint);
   fleet_endpoint_unref (r->endpoint);
   r->endpoint = NULL;
-  relay_tell_work (r, now_us);
+  relay_notify_work (r, now_us);
 }
 
 void
@@ -133,21 +134,22 @@
   met_add (ids[outcome], 1);
   met_add (MET_RUNNING, -1);
   if (outcome == OUT_ANSWERED)
-    met_observe (MET_WHOLE_TIME, now_us - r->arrived_us);
-  log_event (LOG_LEVEL_INFO, "finish",
-             "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
-             "unsent=%d handed_us=%" G_GINT64_FORMAT
-             " first_us=%" G_GINT64_FORMAT " whole_us=%" G_GINT64_FORMAT,
-             r->desc.id, r->route->name, out_name (outcome), reason, r->status,
-             r->attempts, r->unsent,
-             (gint64)(r->handed_us ? r->handed_us - r->arrived_us : 0),
-             (gint64)(r->first_us ? r->first_us - r->arrived_us : 0),
-             (gint64)(now_us - r->arrived_us));
-  relay_leave (r, now_us);
+    met_observe (MET_WHOLE_TIME, now_us - r->received_us);
+  log_event (
+      LOG_LEVEL_INFO, "finish",
+      "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
+      "unsent=%d handed_us=%" G_GINT64_FORMAT " first_us=%" G_GINT64_FORMAT
+      " whole_us=%" G_GINT64_FORMAT,
+      r->desc.id, r->route->name, out_name (outcome), reason, r->status,
+      r->attempts, r->unsent,
+      (gint64)(r->handed_us ? r->handed_us - r->received_us : 0),
+      (gint64)(r->first_byte_us ? r->first_byte_us - r->received_us : 0),
+      (gint64)(now_us - r->received_us));
+  relay_release_endpoint (r, now_us);
   APR_RING_REMOVE (r, link);
   r->rs->count--;
   r->done = true;
-  if (!r->unpausing)
+  if (!r->unpause_posted)
     relay_free (r);
 }
 
@@ -167,9 +169,9 @@
 
   if (outcome == OUT_NOT_RUN)
     why = RELAY_NOT_RUN;
-  else if (now_us >= r->end_us)
+  else if (now_us >= r->deadline_us)
     why = RELAY_TIMED_OUT;
-  if (r->begun && r->desc.caller != NULL)
+  if (r->stream_begun && r->desc.caller != NULL)
     r->desc.caller->end (r->desc.arg, false);
   else
     refuse (r, why, retry_after_us);
@@ -190,8 +192,8 @@
     {
       next = APR_RING_NEXT (r, link);
       if (look && r->desc.caller != NULL && r->desc.caller->gone (r->desc.arg))
-        relay_caller_gone (r);
-      else if (now_us >= r->end_us)
+        relay_caller_disconnected (r);
+      else if (now_us >= r->deadline_us)
         relay_time_out (r, now_us);
       else if (relay_waits_too_long (r, now_us))
         relay_withdraw (r, now_us);
@@ -222,8 +224,8 @@
   int64_t wait = 0;
 
   if (why == RELAY_NOT_RUN)
-    wait = RETRY_LATER_US
-           + (int64_t)(relay_draw (rs) % (uint64_t)RETRY_SPREAD_US);
+    wait = RETRY_AFTER_STALE_US
+           + (int64_t)(relay_random (rs) % (uint64_t)RETRY_JITTER_US);
   log_refusal (d, out_name (OUT_NOT_RUN), reason, rs->opts.fleet, now_us);
   met_add (MET_NOT_RUN, 1);
   d->caller->refuse (d->arg, why, wait);
@@ -240,14 +242,15 @@
 deny (struct relays *rs, const struct relay_desc *d, enum relay_refusal why,
       const char *reason, int64_t now_us)
 {
-  if (fleet_age_us (rs->opts.fleet, now_us) < rs->opts.deny_us)
+  if (fleet_age_us (rs->opts.fleet, now_us) < rs->opts.denial_max_age_us)
     refuse_early (rs, d, why, reason, now_us);
   else
     refuse_early (rs, d, RELAY_NOT_RUN, "settings_behind", now_us);
 }
 
 void
-relay_too_large (struct relays *rs, const struct relay_desc *d, int64_t now_us)
+relay_refuse_too_large (struct relays *rs, const struct relay_desc *d,
+                        int64_t now_us)
 {
   deny (rs, d, RELAY_TOO_LARGE, "body_too_large", now_us);
 }
@@ -259,7 +262,7 @@
                 const struct fleet_workspace **workspace, int64_t now_us)
 {
   const struct fleet *f = rs->opts.fleet;
-  bool stale = fleet_age_us (f, now_us) > rs->opts.stale_us;
+  bool stale = fleet_age_us (f, now_us) > rs->opts.key_max_age_us;
 
   *workspace = NULL;
   if (d->key != NULL)
@@ -285,11 +288,11 @@
   r->conf = fleet_conf_ref (rs->opts.fleet->conf);
   r->route = route;
   r->service = fleet_split_pick (route, digest);
-  r->shared = need_service (rs, r->service);
-  r->arrived_us = now_us;
-  r->end_us = now_us + route->timeout_us;
-  if (d->deadline_us > 0 && d->deadline_us < r->end_us)
-    r->end_us = d->deadline_us;
+  r->service_state = need_service (rs, r->service);
+  r->received_us = now_us;
+  r->deadline_us = now_us + route->timeout_us;
+  if (d->deadline_us > 0 && d->deadline_us < r->deadline_us)
+    r->deadline_us = d->deadline_us;
   r->answer = g_string_new (NULL);
   evt_init (&r->events, d->resume_after);
   APR_RING_ELEM_INIT (r, link);
@@ -297,7 +300,7 @@
   rs->count++;
   met_add (MET_REQUESTS, 1);
   met_add (MET_RUNNING, 1);
-  budget_earn (&r->shared->budget);
+  budget_earn (&r->service_state->budget);
   if (!rs->sweep.armed)
     loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_US);
   return r;
@@ -310,7 +313,7 @@
 {
   const struct relays_opts *o = &rs->opts;
 
-  return o->quar == NULL || o->evidence_known (o->quar_arg, now_us);
+  return o->quar == NULL || o->is_evidence_known (o->quar_arg, now_us);
 }
 
 /* A request that is placed from inside its door's call may end there, so its
@@ -338,18 +341,19 @@
     return NULL;
   if ((int64_t)d->body_len > f->conf->limits.body_bytes)
     {
-      relay_too_large (rs, d, now_us);
+      relay_refuse_too_large (rs, d, now_us);
       return NULL;
     }
   r = relay_new (rs, d, route, now_us);
   r->workspace = workspace;
-  share_ask (&r->shared->share, relay_workspace (r), work_of (d), now_us);
+  share_ask (&r->service_state->share, relay_workspace (r), work_of (d),
+             now_us);
   r->rank = relay_rank (r, now_us);
-  admit_ask (&r->shared->admit, r->rank, work_of (d), now_us);
+  admit_ask (&r->service_state->admit, r->rank, work_of (d), now_us);
   /* Held as if a message were under way, so that it outlives this call. */
-  r->unpausing = true;
+  r->unpause_posted = true;
   relay_place (r, now_us);
-  r->unpausing = false;
+  r->unpause_posted = false;
   if (!r->done)
     return r;
   relay_free (r);
@@ -364,7 +368,7 @@
   struct relay *r = arg;
   const struct relay_engine *e = &r->rs->opts.engine;
 
-  r->unpausing = false;
+  r->unpause_posted = false;
   if (r->done)
     relay_free (r);
   else if (r->call != NULL && r->paused)
@@ -379,27 +383,27 @@
 void
 relay_drained (struct relay *r)
 {
-  if (!r->paused || r->unpausing
+  if (!r->paused || r->unpause_posted
       || r->desc.caller->pending (r->desc.arg) > r->rs->opts.stream_buffer / 2)
     return;
-  r->unpausing = true;
+  r->unpause_posted = true;
   r->unpause.run = on_unpause;
   r->unpause.arg = r;
   loop_post (r->rs->opts.loop, &r->unpause);
 }
 
 void
-relay_caller_gone (struct relay *r)
+relay_caller_disconnected (struct relay *r)
 {
   const struct relay_engine *e = &r->rs->opts.engine;
   int64_t now = loop_now_us ();
-  bool sent = r->handed_over || r->ran;
+  bool sent = r->handed_over || r->may_have_run;
 
   r->desc.caller = NULL;
   met_add (MET_CANCELS, 1);
-  if (sent && r->endpoint != NULL && r->first_us == 0
+  if (sent && r->endpoint != NULL && r->first_byte_us == 0
       && r->route->kind == FLEET_STREAM)
-    relay_waited (r, now);
+    relay_record_wait (r, now);
   if (r->call != NULL)
     e->cancel (e->ctx, r->call);
   r->call = NULL;
@@ -417,7 +421,7 @@
     return NULL;
   o.engine = &rs->opts.engine;
   o.clock_ms = rs->opts.clock_ms;
-  o.observed = rs->opts.observed;
+  o.on_evidence = rs->opts.on_evidence;
   o.arg = rs->opts.quar_arg;
   return relaycrash_new (&o);
 }
@@ -428,7 +432,7 @@
   struct relays *rs = g_new0 (struct relays, 1);
 
   rs->opts = *opts;
-  rs->random = opts->seed;
+  rs->random_state = opts->seed;
   rs->crash = make_crash (rs);
   rs->sweep.fire = on_sweep;
   rs->sweep.arg = rs;
--- a/relay.h
+++ b/relay.h
@@ -76,26 +76,26 @@
 /* --- towards endpoints ----------------------------------------------- */
 
 /* An attempt as an engine adapter sends it. */
-struct relay_send
+struct relay_attempt
 {
   const struct relay_desc *desc;         /* the request */
   const struct fleet_endpoint *endpoint; /* where to */
   const char *workspace;                 /* who asks, or NULL */
   const char *cache_scope; /* what cached work it may use; NULL if plain */
   int64_t version;         /* weights it must run on, 0 for any */
-  int urgency;             /* 0 goes first, to 9 */
-  int64_t left_us;         /* time for it from now */
+  int priority;            /* 0 goes first, to 9 */
+  int64_t timeout_us;      /* time for it from now */
   int64_t resume_after;    /* go on after this event, -1 to start */
-  const struct parts_plan *kept; /* parts to fetch and to save, or NULL */
+  const struct parts_plan *plan; /* parts to fetch and to save, or NULL */
 };
 
 /* Head of an endpoint's answer, decoded. */
 struct relay_head
 {
-  int status;         /* HTTP status */
-  bool genuine;       /* the endpoint's mark is there, and it is for us */
-  bool not_run;       /* the endpoint says that it did not run */
-  bool other_life;    /* somebody else has the endpoint's address */
+  int status;             /* HTTP status */
+  bool genuine;           /* the endpoint's mark is there, and it is for us */
+  bool not_run;           /* the endpoint says that it did not run */
+  bool other_incarnation; /* somebody else has the endpoint's address */
   bool other_weights; /* it is that endpoint, with other weights than asked */
   int running;        /* requests that run at it, -1 if unsaid */
   int waiting;        /* and wait there; 0 if unsaid */
@@ -113,11 +113,11 @@
 };
 
 /* What a receiver of an answer's bytes says. */
-enum relay_take
+enum relay_body_result
 {
-  RELAY_TAKEN, /* go on */
-  RELAY_PAUSE, /* the same bytes again after unpause */
-  RELAY_STOP   /* end the attempt; end follows */
+  RELAY_CONTINUE, /* go on */
+  RELAY_PAUSE,    /* the same bytes again after unpause */
+  RELAY_STOP      /* end the attempt; end follows */
 };
 
 /* Callbacks of an attempt. */
@@ -127,12 +127,12 @@
   bool (*before_send) (void *arg);
   /* False stops it: end follows. */
   bool (*head) (void *arg, const struct relay_head *head);
-  enum relay_take (*body) (void *arg, const char *data, size_t len);
+  enum relay_body_result (*body) (void *arg, const char *data, size_t len);
   void (*end) (void *arg, const struct relay_end *end);
 };
 
 /* What a question to an endpoint shows. */
-enum relay_probe
+enum relay_probe_result
 {
   RELAY_PROBE_ALIVE, /* something answers, and nothing says that it is another
                       */
@@ -141,12 +141,12 @@
 };
 
 /* NOTICE is NULL unless that endpoint answered. */
-typedef void (*relay_probe_done) (void *arg, enum relay_probe probe,
+typedef void (*relay_probe_done) (void *arg, enum relay_probe_result probe,
                                   const struct notice *notice);
 
 struct relay_engine
 {
-  void *(*send) (void *ctx, const struct relay_send *send,
+  void *(*send) (void *ctx, const struct relay_attempt *send,
                  const struct relay_events *events, void *arg);
   /* Stop without a further callback; the endpoint sees a close. */
   void (*cancel) (void *ctx, void *call);
@@ -168,45 +168,45 @@
   struct relay_engine engine;     /* adapter */
   const struct load_table *loads; /* work of other VMs, or NULL */
   /* Work at an endpoint began, was read or ended; may be NULL. */
-  void (*worked) (void *arg, int64_t now_us);
-  void *worked_arg; /* passed to it */
+  void (*on_work_changed) (void *arg, int64_t now_us);
+  void *work_arg; /* passed to it */
   /* Evidence against requests that crash endpoints, or NULL. */
   struct quar *quar;
   /* The platform's clock, 0 if that is not known; with quar. */
   int64_t (*clock_ms) (void *arg, int64_t now_us);
   /* This VM saw something that QUAR holds; with quar. */
-  void (*observed) (void *arg, int64_t now_us);
+  void (*on_evidence) (void *arg, int64_t now_us);
   /* Whether what other VMs saw was read; with quar. */
-  bool (*evidence_known) (void *arg, int64_t now_us);
+  bool (*is_evidence_known) (void *arg, int64_t now_us);
   /* Whether this VM is the one that may send a suspect request now; with quar.
    */
-  bool (*suspect_turn) (void *arg, const struct reqid *id, int64_t now_us);
-  void *quar_arg;       /* passed to these */
-  const char *domain;   /* of this VM */
-  int64_t stale_us;     /* keys count for nothing once older */
-  int64_t deny_us;      /* nothing is denied for good once older */
-  int retry_percent;    /* repeats, as a share of requests */
-  int retry_burst;      /* repeats before any were earned */
-  size_t stream_buffer; /* bytes held for a slow reader */
-  size_t answer_max;    /* bytes of an answer held whole */
-  uint64_t seed;        /* of random choices */
+  bool (*may_run_suspect) (void *arg, const struct reqid *id, int64_t now_us);
+  void *quar_arg;            /* passed to these */
+  const char *domain;        /* of this VM */
+  int64_t key_max_age_us;    /* keys count for nothing once older */
+  int64_t denial_max_age_us; /* nothing is denied for good once older */
+  int retry_percent;         /* repeats, as a share of requests */
+  int retry_burst;           /* repeats before any were earned */
+  size_t stream_buffer;      /* bytes held for a slow reader */
+  size_t answer_max;         /* bytes of an answer held whole */
+  uint64_t seed;             /* of random choices */
 };
 
 struct relays *relays_new (const struct relays_opts *opts);
 void relays_free (struct relays *rs);
 int relays_count (const struct relays *rs);
 /* What the requests of RELAYS have under way at endpoints. */
-void relays_gather (void *relays, struct load_gossip *word);
+void relays_collect_load (void *relays, struct load_gossip *word);
 
 /* Start a request that was read whole; NULL if it was answered at once. */
 struct relay *relay_start (struct relays *rs, const struct relay_desc *desc,
                            int64_t now_us);
 /* Refuse a request whose body is over the limit. */
-void relay_too_large (struct relays *rs, const struct relay_desc *desc,
-                      int64_t now_us);
+void relay_refuse_too_large (struct relays *rs, const struct relay_desc *desc,
+                             int64_t now_us);
 /* The caller took bytes of the stream. */
 void relay_drained (struct relay *r);
 /* The caller is gone: nothing more is said to it. */
-void relay_caller_gone (struct relay *r);
+void relay_caller_disconnected (struct relay *r);
 
 #endif
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -34,7 +34,7 @@
 }
 
 int
-relay_urgency (const struct relay *r)
+relay_priority (const struct relay *r)
 {
   int p = r->route->priority;
 
@@ -62,13 +62,13 @@
     }
   /* No more than the route allows: one caller's hour would make all others
      look as if they returned. */
-  return admit_has_returned (usual, r->end_us - now_us);
+  return admit_has_returned (usual, r->deadline_us - now_us);
 }
 
 int
 relay_rank (struct relay *r, int64_t now_us)
 {
-  return admit_rank (relay_urgency (r), has_returned (r, now_us));
+  return admit_rank (relay_priority (r), has_returned (r, now_us));
 }
 
 /* --- what answers show ------------------------------------------------ */
@@ -77,7 +77,7 @@
 static void
 log_admission (struct relay *r, int64_t now_us)
 {
-  struct relay_service *s = r->shared;
+  struct relay_service *s = r->service_state;
   int keep = admit_keep (&s->admit, now_us);
 
   if (s->limited ? keep < SHARE_ALL : keep >= LIMITED_BELOW)
@@ -92,7 +92,7 @@
 }
 
 void
-relay_waited (struct relay *r, int64_t now_us)
+relay_record_wait (struct relay *r, int64_t now_us)
 {
   struct admit_seen seen = { .running = r->running, .waiting = r->waiting };
 
@@ -100,9 +100,9 @@
   seen.target_us = r->route->target_us;
   pick_first (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
   /* A caller who leaves early does so for reasons of its own. */
-  if (r->first_us == 0 && seen.wait_us < seen.target_us)
+  if (r->first_byte_us == 0 && seen.wait_us < seen.target_us)
     return;
-  admit_answered (&r->shared->admit, &seen, now_us);
+  admit_answered (&r->service_state->admit, &seen, now_us);
   log_admission (r, now_us);
 }
 
@@ -126,7 +126,7 @@
 static int
 share_let_in (const struct relay *r, int64_t wait_us, int64_t now_us)
 {
-  const struct relay_service *s = r->shared;
+  const struct relay_service *s = r->service_state;
   int64_t enough = patience_us (r) / PATIENCE_SHARE;
   int keep = admit_keep (&s->admit, now_us);
 
@@ -145,23 +145,23 @@
  * from their urgency and from what each workspace asks for.
  */
 int
-relay_let_in (const struct relay *r, const struct pick_choice *c,
-              int64_t now_us)
+relay_admit_permille (const struct relay *r, const struct pick_choice *c,
+                      int64_t now_us)
 {
-  int64_t wait = now_us - r->arrived_us + c->wait_us;
+  int64_t wait = now_us - r->received_us + c->wait_us;
 
-  if (r->route->kind != FLEET_STREAM || r->begun)
+  if (r->route->kind != FLEET_STREAM || r->stream_begun)
     return SHARE_ALL;
-  if (r->arrived_us + wait > r->end_us)
+  if (r->received_us + wait > r->deadline_us)
     return 0;
   return share_let_in (r, wait, now_us);
 }
 
 void
-relay_log_late (const struct relay *r, const struct pick_choice *c, int keep,
-                int64_t now_us)
+relay_log_too_late (const struct relay *r, const struct pick_choice *c,
+                    int keep, int64_t now_us)
 {
-  const struct admit *a = &r->shared->admit;
+  const struct admit *a = &r->service_state->admit;
 
   log_event (LOG_LEVEL_INFO, "too_late",
              "req=%s route=%s endpoint=%s workspace=%s rank=%d keep=%d "
@@ -170,6 +170,6 @@
              r->desc.id, r->route->name, c->endpoint->is.id,
              relay_workspace (r), r->rank, keep, admit_keep (a, now_us),
              (gint64)a->pressure,
-             (gint64)(now_us - r->arrived_us + c->wait_us),
-             (gint64)(r->end_us - now_us), c->candidates, c->over_bound);
+             (gint64)(now_us - r->received_us + c->wait_us),
+             (gint64)(r->deadline_us - now_us), c->candidates, c->over_bound);
 }
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -83,7 +83,7 @@
       news |= quar_take (o->quar, &f, true);
     }
   if (news)
-    o->observed (o->arg, now_us);
+    o->on_evidence (o->arg, now_us);
 }
 
 static void
@@ -95,7 +95,8 @@
 }
 
 static void
-on_probe (void *arg, enum relay_probe probe, const struct notice *notice)
+on_probe (void *arg, enum relay_probe_result probe,
+          const struct notice *notice)
 {
   static const char *const names[] = {
     [RELAY_PROBE_ALIVE] = "alive",
@@ -203,8 +204,8 @@
  * each answer that it cuts off.
  */
 void
-relaycrash_broke (struct relaycrash *owner, struct fleet_endpoint *e,
-                  const struct reqid *id, int64_t ran_us, int64_t now_us)
+relaycrash_report (struct relaycrash *owner, struct fleet_endpoint *e,
+                   const struct reqid *id, int64_t ran_us, int64_t now_us)
 {
   int64_t ran_ms = ran_us / CQ_US_PER_MS;
   struct broken *b;
--- a/relaycrash.h
+++ b/relaycrash.h
@@ -20,14 +20,15 @@
   const struct relay_engine *engine;               /* adapter */
   struct quar *quar;                               /* takes the evidence */
   int64_t (*clock_ms) (void *arg, int64_t now_us); /* the platform's */
-  void (*observed) (void *arg, int64_t now_us);    /* there is some */
+  void (*on_evidence) (void *arg, int64_t now_us); /* there is some */
   void *arg;                                       /* passed to both */
 };
 
 struct relaycrash *relaycrash_new (const struct relaycrash_opts *opts);
 /* The connection of request ID to E closed after RAN_US at it, not by us. */
-void relaycrash_broke (struct relaycrash *s, struct fleet_endpoint *e,
-                       const struct reqid *id, int64_t ran_us, int64_t now_us);
+void relaycrash_report (struct relaycrash *s, struct fleet_endpoint *e,
+                        const struct reqid *id, int64_t ran_us,
+                        int64_t now_us);
 void relaycrash_free (struct relaycrash *s);
 
 #endif
--- a/relayquar.c
+++ b/relayquar.c
@@ -9,9 +9,9 @@
 const struct reqid *
 relay_identity (struct relay *r)
 {
-  if (!r->identified)
+  if (!r->has_identity)
     reqid_of (&r->desc, relay_workspace (r), &r->identity);
-  r->identified = true;
+  r->has_identity = true;
   return &r->identity;
 }
 
@@ -52,24 +52,24 @@
   const struct relays_opts *o = &r->rs->opts;
 
   return !runs_already (r)
-         && (o->suspect_turn == NULL
-             || o->suspect_turn (o->quar_arg, relay_identity (r), now_us));
+         && (o->may_run_suspect == NULL
+             || o->may_run_suspect (o->quar_arg, relay_identity (r), now_us));
 }
 
 /*
  * Where nothing is known of any request, none is even digested: a calm VM pays
  * nothing for it.
  */
-enum relay_hold
-relay_hold (struct relay *r, int64_t now_us)
+enum relay_quar_decision
+relay_check_quarantine (struct relay *r, int64_t now_us)
 {
   static const char *const names[] = {
-    [HOLD_NONE] = "passed",
-    [HOLD_TURN] = "deferred",
-    [HOLD_CRASHES] = "held",
+    [RELAY_QUAR_PASS] = "passed",
+    [RELAY_QUAR_DEFER] = "deferred",
+    [RELAY_QUAR_REFUSE] = "held",
   };
   const struct relays_opts *o = &r->rs->opts;
-  enum relay_hold hold = HOLD_NONE;
+  enum relay_quar_decision hold = RELAY_QUAR_PASS;
   struct quar_verdict v;
   char text[REQID_TEXT_SIZE];
   int64_t now_ms;
@@ -77,23 +77,23 @@
   r->suspect = false;
   if (o->quar == NULL || !quar_any (o->quar)
       || !quar_suspects (o->quar, relay_identity (r)))
-    return HOLD_NONE;
+    return RELAY_QUAR_PASS;
   now_ms = o->clock_ms (o->quar_arg, now_us);
   v = quar_judge (o->quar, relay_identity (r), count_endpoints (r), now_ms);
   if (v.crashes == 0)
-    return HOLD_NONE;
+    return RELAY_QUAR_PASS;
   r->suspect = v.suspect;
   if (v.held)
-    hold = HOLD_CRASHES;
+    hold = RELAY_QUAR_REFUSE;
   else if (v.suspect && !has_turn (r, now_us))
-    hold = HOLD_TURN;
+    hold = RELAY_QUAR_DEFER;
   log_event (LOG_LEVEL_INFO, "quarantine",
              "req=%s digest=%s outcome=%s crashes=%d chance=%.1e "
              "left_ms=%" G_GINT64_FORMAT,
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
              v.crashes, v.chance, (gint64)(v.held ? v.until_ms - now_ms : 0));
-  met_add (MET_HELD, hold == HOLD_CRASHES);
-  met_add (MET_DEFERRED, hold == HOLD_TURN);
+  met_add (MET_HELD, hold == RELAY_QUAR_REFUSE);
+  met_add (MET_DEFERRED, hold == RELAY_QUAR_DEFER);
   return hold;
 }
 
@@ -102,7 +102,7 @@
 static bool
 was_answered (const struct relay *r, enum send_state sent)
 {
-  return sent == SEND_WHOLE && r->stopped == NULL && r->status < 500;
+  return sent == SEND_WHOLE && r->stop_reason == NULL && r->status < 500;
 }
 
 static void
@@ -116,21 +116,21 @@
   f.id = *relay_identity (r);
   f.crash.at_ms = o->clock_ms (o->quar_arg, now_us);
   if (quar_take (o->quar, &f, true))
-    o->observed (o->quar_arg, now_us);
+    o->on_evidence (o->quar_arg, now_us);
 }
 
 void
-relay_observe (struct relay *r, enum send_state sent, int64_t now_us)
+relay_record_evidence (struct relay *r, enum send_state sent, int64_t now_us)
 {
-  int64_t since = r->answering ? r->first_us : r->sent_us;
+  int64_t since = r->has_body ? r->first_byte_us : r->sent_us;
 
   if (r->rs->crash == NULL)
     return;
   if (was_answered (r, sent))
     answered (r, now_us);
   /* What we broke off ourselves, or gave up, says nothing. */
-  else if (r->stopped == NULL
+  else if (r->stop_reason == NULL
            && (sent == SEND_PARTIAL || sent == SEND_REPLIED))
-    relaycrash_broke (r->rs->crash, r->endpoint, relay_identity (r),
-                      now_us - MAX (since, r->sent_us), now_us);
+    relaycrash_report (r->rs->crash, r->endpoint, relay_identity (r),
+                       now_us - MAX (since, r->sent_us), now_us);
 }
--- a/relaytry.c
+++ b/relaytry.c
@@ -29,7 +29,7 @@
 static int64_t
 retry_after (struct relay *r, int64_t us)
 {
-  return us + (int64_t)(relay_draw (r->rs) % (uint64_t)RETRY_SPREAD_US);
+  return us + (int64_t)(relay_random (r->rs) % (uint64_t)RETRY_JITTER_US);
 }
 
 /* Nothing more can be tried. */
@@ -37,8 +37,8 @@
 give_up_unplaced (struct relay *r, const char *reason, int64_t wait_us,
                   int64_t now_us)
 {
-  relay_give_up (r, out_refused (r->ran, relay_repeatable (r)), reason,
-                 retry_after (r, wait_us), now_us);
+  relay_give_up (r, out_refused (r->may_have_run, relay_is_repeatable (r)),
+                 reason, retry_after (r, wait_us), now_us);
 }
 
 /*
@@ -49,7 +49,7 @@
 static void
 give_up_held (struct relay *r, int64_t now_us)
 {
-  relay_give_up (r, out_refused (true, relay_repeatable (r)),
+  relay_give_up (r, out_refused (true, relay_is_repeatable (r)),
                  "crashes_endpoints", 0, now_us);
 }
 
@@ -84,17 +84,17 @@
 static void
 check_hold (struct relay *r, int64_t now_us)
 {
-  switch (relay_hold (r, now_us))
+  switch (relay_check_quarantine (r, now_us))
     {
-    case HOLD_NONE:
+    case RELAY_QUAR_PASS:
       break;
-    case HOLD_TURN:
-      r->stopped = "suspect";
+    case RELAY_QUAR_DEFER:
+      r->stop_reason = "suspect";
       break;
-    case HOLD_CRASHES:
+    case RELAY_QUAR_REFUSE:
       /* Under other ids, so that it is not said to have not run. */
-      r->ran = true;
-      r->stopped = "crashes_endpoints";
+      r->may_have_run = true;
+      r->stop_reason = "crashes_endpoints";
       break;
     }
 }
@@ -106,29 +106,29 @@
   int64_t now = loop_now_us ();
 
   if (relay_is_stale (r, now))
-    r->stopped = "settings_stale";
-  else if (relay_key_is_gone (r))
-    r->stopped = "key_revoked";
-  else if (now >= r->end_us)
-    r->stopped = "deadline";
+    r->stop_reason = "settings_stale";
+  else if (relay_is_key_revoked (r))
+    r->stop_reason = "key_revoked";
+  else if (now >= r->deadline_us)
+    r->stop_reason = "deadline";
   else if (r->endpoint->draining || r->endpoint->gone)
-    r->stopped = STOPPED_LEFT;
+    r->stop_reason = STOPPED_LEFT;
   else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->is.domain))
-    r->stopped = STOPPED_EVACUATED;
+    r->stop_reason = STOPPED_EVACUATED;
   else if (is_outdated (r, r->rs->opts.fleet->old_max_us, now))
-    r->stopped = STOPPED_OUTDATED;
+    r->stop_reason = STOPPED_OUTDATED;
   else if (caller_left (r))
-    r->stopped = "caller_gone";
+    r->stop_reason = "caller_gone";
   else if (cold_is (&r->endpoint->cold, now)
            && !pace_may_send (&r->endpoint->cold.pace, now))
-    r->stopped = STOPPED_COLD;
+    r->stop_reason = STOPPED_COLD;
   else if (!limit_may_send (&r->endpoint->limit, now))
-    r->stopped = STOPPED_LIMITED;
+    r->stop_reason = STOPPED_LIMITED;
   else if (pick_rests (r->endpoint, now))
-    r->stopped = STOPPED_RESTING;
+    r->stop_reason = STOPPED_RESTING;
   else
     check_hold (r, now);
-  r->handed_over = r->stopped == NULL;
+  r->handed_over = r->stop_reason == NULL;
   if (!r->handed_over)
     return false;
   if (cold_is (&r->endpoint->cold, now))
@@ -138,7 +138,7 @@
   if (r->handed_us == 0)
     {
       r->handed_us = now;
-      met_observe (MET_HANDOVER_TIME, now - r->arrived_us);
+      met_observe (MET_HANDOVER_TIME, now - r->received_us);
     }
   return true;
 }
@@ -151,7 +151,7 @@
 static void
 take_version (struct relay *r, const struct relay_head *head, int64_t now_us)
 {
-  if (head->other_life || !(head->genuine || head->not_run))
+  if (head->other_incarnation || !(head->genuine || head->not_run))
     return;
   if (head->version > 0)
     fleet_take_version (r->endpoint, head->version, r->sent_us, now_us);
@@ -169,7 +169,7 @@
 {
   struct notice_from from = { .source = "answer", .sent_us = r->sent_us };
 
-  if (head->other_life)
+  if (head->other_incarnation)
     return;
   from.whole = head->genuine && !head->not_run;
   notice_take (r->endpoint, &head->notice, &from, now_us);
@@ -190,7 +190,7 @@
   take_version (r, head, now);
   take_notice (r, head, now);
   /* That life is over, so nothing was sent to an endpoint of the service. */
-  if (head->other_life)
+  if (head->other_incarnation)
     {
       r->endpoint->draining = true;
       r->attempts--;
@@ -199,7 +199,7 @@
      shown to the caller. */
   if (!head->not_run && !head->genuine)
     {
-      r->stopped = "not_genuine";
+      r->stop_reason = "not_genuine";
       return false;
     }
   r->streaming = r->route->kind == FLEET_STREAM && head->status == 200;
@@ -213,29 +213,29 @@
 {
   if (len == 0)
     return;
-  relay_read (r, loop_now_us ());
-  if (!r->begun)
+  relay_prefill_done (r, loop_now_us ());
+  if (!r->stream_begun)
     {
-      r->begun = true;
-      r->first_us = loop_now_us ();
+      r->stream_begun = true;
+      r->first_byte_us = loop_now_us ();
       pick_learn (r->rs->opts.fleet, r->endpoint,
-                  r->ahead + r->shared_unread + r->work.own,
-                  r->first_us - r->sent_us);
-      met_observe (MET_FIRST_TOKEN, r->first_us - r->arrived_us);
-      relay_waited (r, r->first_us);
+                  r->tokens_ahead + r->shared_unread + r->work.own,
+                  r->first_byte_us - r->sent_us);
+      met_observe (MET_FIRST_TOKEN, r->first_byte_us - r->received_us);
+      relay_record_wait (r, r->first_byte_us);
       r->desc.caller->begin (r->desc.arg, r->status,
                              (const char *const *)r->lines);
     }
   r->desc.caller->write (r->desc.arg, data, len);
 }
 
-static enum relay_take
+static enum relay_body_result
 take_stream (struct relay *r, const char *data, size_t len)
 {
   g_autoptr (GString) events = g_string_new (NULL);
 
   /* A reader that is slower than the engine must not fill the memory. */
-  if (r->begun
+  if (r->stream_begun
       && r->desc.caller->pending (r->desc.arg) > r->rs->opts.stream_buffer)
     {
       r->paused = true;
@@ -243,28 +243,28 @@
     }
   if (!evt_feed (&r->events, data, len, EVENT_MAX, events))
     {
-      r->stopped = "event_too_large";
+      r->stop_reason = "event_too_large";
       return RELAY_STOP;
     }
   pass_on (r, events->str, events->len);
-  return RELAY_TAKEN;
+  return RELAY_CONTINUE;
 }
 
-static enum relay_take
+static enum relay_body_result
 on_body (void *arg, const char *data, size_t len)
 {
   struct relay *r = arg;
 
-  r->answering = true;
+  r->has_body = true;
   if (r->streaming)
     return take_stream (r, data, len);
   if (r->answer->len + len > r->rs->opts.answer_max)
     {
-      r->stopped = "answer_too_large";
+      r->stop_reason = "answer_too_large";
       return RELAY_STOP;
     }
   g_string_append_len (r->answer, data, (gssize)len);
-  return RELAY_TAKEN;
+  return RELAY_CONTINUE;
 }
 
 static enum send_state
@@ -276,7 +276,7 @@
     return SEND_PARTIAL;
   if (r->not_run)
     return SEND_REFUSED;
-  if (!whole || r->stopped != NULL
+  if (!whole || r->stop_reason != NULL
       || (r->streaming && evt_in_part (&r->events)))
     return SEND_REPLIED;
   return SEND_WHOLE;
@@ -287,12 +287,12 @@
 {
   struct out_facts f = { .sent = sent, .status = r->status };
 
-  f.repeatable = relay_repeatable (r);
-  f.ran_before = r->ran;
-  f.caller_has_bytes = r->begun;
+  f.repeatable = relay_is_repeatable (r);
+  f.ran_before = r->may_have_run;
+  f.caller_has_bytes = r->stream_begun;
   f.resumable = r->route->resumable;
   f.attempts_left = left;
-  f.deadline_passed = now_us >= r->end_us;
+  f.deadline_passed = now_us >= r->deadline_us;
   return out_judge (&f);
 }
 
@@ -314,7 +314,7 @@
 static bool
 attempts_left (const struct relay *r, enum send_state sent)
 {
-  bool ours = r->stopped != NULL && !is_of_endpoint (r->stopped);
+  bool ours = r->stop_reason != NULL && !is_of_endpoint (r->stop_reason);
 
   /* The attempt that is over takes a place as well. */
   if (r->ntried + 1 >= PICK_EXCLUDE_MAX)
@@ -335,7 +335,7 @@
 
   if (v.next == NEXT_FINISH || (sent == SEND_NONE && r->attempts == 0))
     return v;
-  if (!budget_spend (&r->shared->budget))
+  if (!budget_spend (&r->service_state->budget))
     return judge (r, sent, false, now_us);
   return v;
 }
@@ -349,9 +349,10 @@
     pick_worked (e);
   else if (sent == SEND_REFUSED)
     pick_refused (e, now_us);
-  else if (r->absent)
+  else if (r->connection_refused)
     pick_absent (e, now_us);
-  else if (r->stopped == NULL || strcmp (r->stopped, "not_genuine") == 0)
+  else if (r->stop_reason == NULL
+           || strcmp (r->stop_reason, "not_genuine") == 0)
     pick_failed (e, now_us);
 }
 
@@ -361,7 +362,7 @@
 {
   const struct relay_caller *c = r->desc.caller;
 
-  if (c != NULL && r->begun)
+  if (c != NULL && r->stream_begun)
     c->end (r->desc.arg, true);
   else if (c != NULL)
     c->answer (r->desc.arg, r->status, (const char *const *)r->lines,
@@ -401,23 +402,23 @@
           int64_t now_us)
 {
   struct out_verdict v = judge_with_budget (r, sent, now_us);
-  const char *reason = r->stopped != NULL ? r->stopped : v.reason;
+  const char *reason = r->stop_reason != NULL ? r->stop_reason : v.reason;
 
   if (sent != SEND_WHOLE || v.next != NEXT_FINISH)
     log_attempt (r, sent, &v, reason, error, now_us);
   tell_picking (r, sent, now_us);
-  relay_observe (r, sent, now_us);
+  relay_record_evidence (r, sent, now_us);
   if (sent == SEND_NONE)
     r->unsent++;
   else if (sent != SEND_REFUSED)
-    r->ran = true;
+    r->may_have_run = true;
   remember_tried (r);
-  relay_leave (r, now_us);
+  relay_release_endpoint (r, now_us);
   if (v.next == NEXT_FINISH && sent == SEND_WHOLE)
     answer (r, v.outcome, v.reason, now_us);
   else if (v.next == NEXT_FINISH)
-    relay_give_up (r, v.outcome, reason, retry_after (r, RETRY_SOON_US),
-                   now_us);
+    relay_give_up (r, v.outcome, reason,
+                   retry_after (r, RETRY_AFTER_FAILURE_US), now_us);
   else
     {
       met_add (v.next == NEXT_RESUME ? MET_RESUMES : MET_RETRIES, 1);
@@ -432,7 +433,7 @@
   int64_t now = loop_now_us ();
 
   r->call = NULL;
-  r->absent = end->refused;
+  r->connection_refused = end->refused;
   conclude (r, send_state_of (r, end->whole), end->error, now);
 }
 
@@ -476,7 +477,7 @@
   const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
   struct parts_query q = { .scope = r->cache_scope, .list = r->desc.parts };
 
-  memset (&r->kept, 0, sizeof r->kept);
+  memset (&r->plan, 0, sizeof r->plan);
   if (o->parts == NULL || !r->route->sticky)
     return;
   q.n = r->desc.nparts;
@@ -487,7 +488,7 @@
   q.wait_us = c->wait_us;
   q.fleet = o->fleet;
   q.homes = homes_of (r);
-  parts_plan (o->parts, &q, now_us, &r->kept);
+  parts_plan (o->parts, &q, now_us, &r->plan);
 }
 
 /* For how long newer weights may have been named: 0 if none were, -1 if that
@@ -515,7 +516,7 @@
 {
   const struct fleet *f = r->rs->opts.fleet;
   int64_t since = fleet_outdated_since (f, r->endpoint);
-  int64_t left = r->end_us - now_us;
+  int64_t left = r->deadline_us - now_us;
 
   if (f->old_end_us == 0 || r->route->kind != FLEET_STREAM
       || fleet_outdated_by (f, r->endpoint) == NULL || since == FLEET_NEVER)
@@ -529,25 +530,25 @@
   const struct relays_opts *o = &r->rs->opts;
   bool model = c->endpoint->is.model[0] != '\0';
   const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
-  struct relay_send s = { .desc = &r->desc, .endpoint = c->endpoint };
+  struct relay_attempt s = { .desc = &r->desc, .endpoint = c->endpoint };
 
   r->endpoint = fleet_endpoint_ref (c->endpoint);
   pick_sent (r->endpoint);
   if (cold_is (&r->endpoint->cold, now_us))
     pace_place (&r->endpoint->cold.pace, now_us);
   pace_place (&r->endpoint->limit.pace, now_us);
-  r->unread = true;
-  r->ahead = c->ahead;
+  r->is_prefilling = true;
+  r->tokens_ahead = c->ahead;
   r->shared_unread = c->has_part ? 0 : r->work.shared - r->work.stored;
   r->handed_over = false;
-  r->stopped = NULL;
+  r->stop_reason = NULL;
   r->status = 0;
   r->running = -1;
   r->waiting = 0;
   r->not_run = false;
-  r->absent = false;
+  r->connection_refused = false;
   r->streaming = false;
-  r->answering = false;
+  r->has_body = false;
   r->paused = false;
   g_string_truncate (r->answer, 0);
   evt_restart (&r->events);
@@ -559,11 +560,11 @@
   r->sent_us = now_us;
   s.workspace = r->workspace != NULL ? r->workspace->name : NULL;
   s.cache_scope = model ? r->cache_scope : NULL;
-  s.kept = model && r->kept.nfetch + r->kept.nsave > 0 ? &r->kept : NULL;
+  s.plan = model && r->plan.nfetch + r->plan.nsave > 0 ? &r->plan : NULL;
   s.version = model ? c->version : 0;
-  s.urgency = relay_urgency (r);
-  s.left_us = time_for (r, now_us);
-  s.resume_after = r->begun ? r->events.last_id : r->desc.resume_after;
+  s.priority = relay_priority (r);
+  s.timeout_us = time_for (r, now_us);
+  s.resume_after = r->stream_begun ? r->events.last_id : r->desc.resume_after;
 
   met_add (MET_ATTEMPTS, 1);
   log_event (
@@ -578,13 +579,13 @@
       " conf_age_us=%" G_GINT64_FORMAT,
       r->desc.id, r->route->name, c->endpoint->is.id, c->load, c->candidates,
       c->over_bound, (gint64)c->ahead, (gint64)c->held, (gint64)c->wait_us,
-      r->kept.nfetch, r->kept.nsave, (gint64)r->kept.fetch_tokens,
+      r->plan.nfetch, r->plan.nsave, (gint64)r->plan.fetch_tokens,
       (gint64)s.version, (gint64)(newer != NULL ? newer->version : 0),
       (gint64)newer_us (o->fleet, c->endpoint, now_us),
       (gint64)(r->endpoint->limit.named ? r->endpoint->limit.milli : -1),
-      (gint64)s.left_us, (gint64)r->conf->version,
+      (gint64)s.timeout_us, (gint64)r->conf->version,
       (gint64)fleet_age_us (o->fleet, now_us));
-  relay_tell_work (r, now_us);
+  relay_notify_work (r, now_us);
   r->call = o->engine.send (o->engine.ctx, &s, &events, r);
 }
 
@@ -592,11 +593,11 @@
 static bool
 is_refused (struct relay *r, const struct pick_choice *c, int64_t now_us)
 {
-  int keep = relay_let_in (r, c, now_us);
+  int keep = relay_admit_permille (r, c, now_us);
 
-  if (keep >= SHARE_ALL || (int)(relay_draw (r->rs) % SHARE_ALL) < keep)
+  if (keep >= SHARE_ALL || (int)(relay_random (r->rs) % SHARE_ALL) < keep)
     return false;
-  relay_log_late (r, c, keep, now_us);
+  relay_log_too_late (r, c, keep, now_us);
   return true;
 }
 
@@ -605,13 +606,13 @@
 static void
 refuse_late (struct relay *r, int64_t now_us)
 {
-  int64_t wait = MAX ((r->end_us - now_us) / RETURN_PART, RETURN_MIN_US);
-  int64_t spread
-      = (int64_t)(relay_draw (r->rs) % (uint64_t)(wait / RETURN_SPREAD_PART));
+  int64_t wait = MAX ((r->deadline_us - now_us) / RETURN_PART, RETURN_MIN_US);
+  int64_t spread = (int64_t)(relay_random (r->rs)
+                             % (uint64_t)(wait / RETURN_SPREAD_PART));
 
   met_add (MET_OVERLOAD, 1);
-  relay_give_up (r, out_refused (r->ran, relay_repeatable (r)), "too_late",
-                 wait - spread, now_us);
+  relay_give_up (r, out_refused (r->may_have_run, relay_is_repeatable (r)),
+                 "too_late", wait - spread, now_us);
 }
 
 static void
@@ -639,17 +640,17 @@
 
   if (relay_is_stale (r, now_us))
     {
-      give_up_unplaced (r, "settings_stale", RETRY_LATER_US, now_us);
+      give_up_unplaced (r, "settings_stale", RETRY_AFTER_STALE_US, now_us);
       return;
     }
-  switch (relay_hold (r, now_us))
+  switch (relay_check_quarantine (r, now_us))
     {
-    case HOLD_NONE:
+    case RELAY_QUAR_PASS:
       break;
-    case HOLD_TURN:
-      give_up_unplaced (r, "suspect", RETRY_SOON_US, now_us);
+    case RELAY_QUAR_DEFER:
+      give_up_unplaced (r, "suspect", RETRY_AFTER_FAILURE_US, now_us);
       return;
-    case HOLD_CRASHES:
+    case RELAY_QUAR_REFUSE:
       give_up_held (r, now_us);
       return;
     }
@@ -657,8 +658,8 @@
   memcpy (q.exclude, r->tried, sizeof q.exclude);
   q.nexclude = r->ntried;
   q.homes = homes_of (r);
-  q.random = relay_draw (r->rs);
-  relay_weigh (r, now_us);
+  q.random = relay_random (r->rs);
+  relay_estimate_work (r, now_us);
   q.work = r->work;
   q.loads = o->loads;
   fleet_judge_rates (o->fleet, now_us);
@@ -671,7 +672,7 @@
     {
       count_unplaced (c.code);
       give_up_unplaced (r, pick_code_name (c.code),
-                        MAX (c.rest_us, RETRY_SOON_US), now_us);
+                        MAX (c.rest_us, RETRY_AFTER_FAILURE_US), now_us);
     }
 }
 
@@ -684,7 +685,7 @@
   if (r->call != NULL)
     e->cancel (e->ctx, r->call);
   r->call = NULL;
-  r->stopped = reason;
+  r->stop_reason = reason;
   conclude (r, send_state_of (r, false), "", now_us);
 }
 
@@ -704,7 +705,7 @@
 bool
 relay_waits_too_long (const struct relay *r, int64_t now_us)
 {
-  return r->call != NULL && !r->answering && r->route->kind == FLEET_STREAM
+  return r->call != NULL && !r->has_body && r->route->kind == FLEET_STREAM
          && is_outdated (r, r->rs->opts.fleet->old_end_us, now_us);
 }
 
--- a/relaywork.c
+++ b/relaywork.c
@@ -32,7 +32,7 @@
 /* What the prompt asks of an endpoint; which weights that will have is not
    known yet, and most have the newest. */
 void
-relay_weigh (struct relay *r, int64_t now_us)
+relay_estimate_work (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
   const struct fleet_service *sv
@@ -43,14 +43,15 @@
   int i;
 
   memset (&r->work, 0, sizeof r->work);
-  r->heavy = false;
+  r->is_long_prompt = false;
   if (sv == NULL || sv->model == NULL || r->desc.nparts == 0)
     return;
   for (i = 0; i < r->desc.nparts - 1; i++)
     r->work.shared += r->desc.parts[i].tokens;
   r->work.own = r->desc.parts[i].tokens;
   r->work.part = part_digest (r, alone);
-  r->heavy = (r->work.shared + r->work.own) * SMALL_PART > sv->memory_tokens;
+  r->is_long_prompt
+      = (r->work.shared + r->work.own) * SMALL_PART > sv->memory_tokens;
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
@@ -63,21 +64,21 @@
 /* --- what is under way ----------------------------------------------- */
 
 void
-relay_tell_work (struct relay *r, int64_t now_us)
+relay_notify_work (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  if (o->worked != NULL && r->heavy)
-    o->worked (o->worked_arg, now_us);
+  if (o->on_work_changed != NULL && r->is_long_prompt)
+    o->on_work_changed (o->work_arg, now_us);
 }
 
 void
-relay_read (struct relay *r, int64_t now_us)
+relay_prefill_done (struct relay *r, int64_t now_us)
 {
-  if (!r->unread)
+  if (!r->is_prefilling)
     return;
-  r->unread = false;
-  relay_tell_work (r, now_us);
+  r->is_prefilling = false;
+  relay_notify_work (r, now_us);
 }
 
 static struct load_entry *
@@ -101,7 +102,7 @@
 
 /* Of too many any, since the rest are no worse known than without a word. */
 void
-relays_gather (void *ctx, struct load_gossip *w)
+relays_collect_load (void *ctx, struct load_gossip *w)
 {
   const struct relays *rs = ctx;
   const struct relay *r;
@@ -110,13 +111,13 @@
   w->n = 0;
   APR_RING_FOREACH (r, &rs->all, relay, link)
   {
-    if (r->endpoint == NULL || !r->heavy)
+    if (r->endpoint == NULL || !r->is_long_prompt)
       continue;
     e = entry_of (w, r);
     if (e == NULL)
       continue;
     e->held += r->work.own;
-    if (!r->unread)
+    if (!r->is_prefilling)
       continue;
     e->unread += r->work.own;
     e->shared_unread = MAX (e->shared_unread, r->shared_unread);
