--- a/librelay.h
+++ b/librelay.h
@@ -30,7 +30,8 @@
   APR_RING_HEAD (relay_ring, relay) all; /* live requests */
   int count;                             /* their number */
   GHashTable *services;                  /* name to struct relay_service */
-  GHashTable *usual; /* route's name to int64_t: time that its callers have */
+  GHashTable *
+      usual_timeouts; /* route's name to int64_t: time that its callers have */
   struct relaycrash *crash; /* endpoints that end; NULL without evidence */
   struct loop_timer sweep;  /* deadlines and hang-ups */
   unsigned sweeps;          /* done so far */
@@ -55,29 +56,31 @@
   struct fleet_endpoint *endpoint;                /* of the attempt */
   char cache_scope[PARTS_SCOPE_SIZE];             /* of the attempt */
   struct parts_plan plan;                         /* of the attempt */
-  struct pick_work work;   /* as the endpoint was chosen for */
-  int64_t tokens_ahead;    /* tokens to be read there before it */
-  int64_t shared_unread;   /* tokens of shared parts that it has to read */
-  void *call;              /* at the adapter */
+  struct pick_work work;          /* as the endpoint was chosen for */
+  int64_t pending_prefill_tokens; /* tokens to be read there before it */
+  int64_t shared_pending_prefill_tokens; /* tokens of shared parts that it has
+                                            to read */
+  void *call;                            /* at the adapter */
   const char *stop_reason; /* why a callback stopped the attempt, or NULL */
   char **lines;            /* head of the answer */
   GString *answer;         /* whole answer so far */
   struct evt events;       /* of a stream */
   struct loop_msg unpause; /* posted when the reader caught up */
   int64_t sent_us;         /* when the attempt started */
-  int64_t handed_us;     /* when its first attempt was handed over; 0: never */
-  int64_t first_byte_us; /* first piece passed on, 0 for none */
-  int ntried;            /* entries in tried */
-  int status;            /* of the attempt's answer, 0 if none */
-  int running;           /* at the endpoint by that answer, -1 if unsaid */
-  int waiting;           /* there by that answer */
-  int attempts;          /* that were handed over */
-  int unsent;            /* that were not */
-  struct reqid identity; /* what is asked; once it is identified */
-  bool has_identity;     /* that was worked out */
-  bool suspect;          /* when it was looked at last */
-  bool handed_over;      /* a byte may have left */
-  bool not_run;          /* the endpoint said so */
+  int64_t
+      handed_over_us; /* when its first attempt was handed over; 0: never */
+  int64_t first_chunk_us;  /* first piece passed on, 0 for none */
+  int ntried;              /* entries in tried */
+  int status;              /* of the attempt's answer, 0 if none */
+  int reported_running;    /* at the endpoint by that answer, -1 if unsaid */
+  int reported_waiting;    /* there by that answer */
+  int attempts;            /* that were handed over */
+  int unsent;              /* that were not */
+  struct reqid identity;   /* what is asked; once it is identified */
+  bool has_identity;       /* that was worked out */
+  bool is_suspect;         /* when it was looked at last */
+  bool handed_over;        /* a byte may have left */
+  bool not_run;            /* the endpoint said so */
   bool connection_refused; /* nothing listens at the endpoint's address */
   bool streaming;          /* the answer goes on in pieces */
   bool has_body;           /* some of the attempt's answer came */
--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -152,7 +152,7 @@
   .write = on_write,
   .end = on_end,
   .pending = on_pending,
-  .gone = on_gone,
+  .is_disconnected = on_gone,
   .refuse = on_refuse,
 };
 
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -233,7 +233,7 @@
 test_absent_rests (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct relay_end refused = { .refused = true, .error = "" };
+  struct relay_end refused = { .connection_refused = true, .error = "" };
   char gone[FLEET_NAME_SIZE];
   int i;
 
--- a/relay.c
+++ b/relay.c
@@ -142,8 +142,8 @@
       " whole_us=%" G_GINT64_FORMAT,
       r->desc.id, r->route->name, out_name (outcome), reason, r->status,
       r->attempts, r->unsent,
-      (gint64)(r->handed_us ? r->handed_us - r->received_us : 0),
-      (gint64)(r->first_byte_us ? r->first_byte_us - r->received_us : 0),
+      (gint64)(r->handed_over_us ? r->handed_over_us - r->received_us : 0),
+      (gint64)(r->first_chunk_us ? r->first_chunk_us - r->received_us : 0),
       (gint64)(now_us - r->received_us));
   relay_release_endpoint (r, now_us);
   APR_RING_REMOVE (r, link);
@@ -191,7 +191,8 @@
        r != APR_RING_SENTINEL (&rs->all, relay, link); r = next)
     {
       next = APR_RING_NEXT (r, link);
-      if (look && r->desc.caller != NULL && r->desc.caller->gone (r->desc.arg))
+      if (look && r->desc.caller != NULL
+          && r->desc.caller->is_disconnected (r->desc.arg))
         relay_caller_disconnected (r);
       else if (now_us >= r->deadline_us)
         relay_time_out (r, now_us);
@@ -401,7 +402,7 @@
 
   r->desc.caller = NULL;
   met_add (MET_CANCELS, 1);
-  if (sent && r->endpoint != NULL && r->first_byte_us == 0
+  if (sent && r->endpoint != NULL && r->first_chunk_us == 0
       && r->route->kind == FLEET_STREAM)
     relay_record_wait (r, now);
   if (r->call != NULL)
@@ -438,7 +439,8 @@
   rs->sweep.arg = rs;
   rs->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rs->usual = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  rs->usual_timeouts
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   APR_RING_INIT (&rs->all, relay, link);
   return rs;
 }
@@ -450,7 +452,7 @@
   if (rs->crash != NULL)
     relaycrash_free (rs->crash);
   g_hash_table_destroy (rs->services);
-  g_hash_table_destroy (rs->usual);
+  g_hash_table_destroy (rs->usual_timeouts);
   g_free (rs);
 }
 
--- a/relay.h
+++ b/relay.h
@@ -48,7 +48,7 @@
   /* Bytes of the stream that the caller has not taken yet. */
   size_t (*pending) (void *arg);
   /* Whether the caller hung up; asked now and then. */
-  bool (*gone) (void *arg);
+  bool (*is_disconnected) (void *arg);
   /* No answer; RETRY_AFTER_US is 0 if there is nothing to say. */
   void (*refuse) (void *arg, enum relay_refusal why, int64_t retry_after_us);
 };
@@ -106,10 +106,10 @@
 
 struct relay_end
 {
-  bool handed_over;  /* a byte may have left */
-  bool whole;        /* the answer is complete */
-  bool refused;      /* nothing listens at the endpoint's address */
-  const char *error; /* the transport's words */
+  bool handed_over;        /* a byte may have left */
+  bool whole;              /* the answer is complete */
+  bool connection_refused; /* nothing listens at the endpoint's address */
+  const char *error;       /* the transport's words */
 };
 
 /* What a receiver of an answer's bytes says. */
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -48,7 +48,7 @@
 static bool
 has_returned (struct relay *r, int64_t now_us)
 {
-  GHashTable *t = r->rs->usual;
+  GHashTable *t = r->rs->usual_timeouts;
   int64_t *usual = g_hash_table_lookup (t, r->route->name);
 
   if (r->desc.deadline_us == 0)
@@ -87,20 +87,21 @@
              "service=%s outcome=%s keep=%d pressure=%" G_GINT64_FORMAT
              " running=%d waiting=%d endpoint=%s",
              r->service, s->limited ? "limited" : "open", keep,
-             (gint64)s->admit.pressure, r->running, r->waiting,
-             r->endpoint->is.id);
+             (gint64)s->admit.pressure, r->reported_running,
+             r->reported_waiting, r->endpoint->is.id);
 }
 
 void
 relay_record_wait (struct relay *r, int64_t now_us)
 {
-  struct admit_seen seen = { .running = r->running, .waiting = r->waiting };
+  struct admit_seen seen
+      = { .running = r->reported_running, .waiting = r->reported_waiting };
 
   seen.wait_us = now_us - r->sent_us;
   seen.target_us = r->route->target_us;
   pick_first (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
   /* A caller who leaves early does so for reasons of its own. */
-  if (r->first_byte_us == 0 && seen.wait_us < seen.target_us)
+  if (r->first_chunk_us == 0 && seen.wait_us < seen.target_us)
     return;
   admit_answered (&r->service_state->admit, &seen, now_us);
   log_admission (r, now_us);
--- a/relayquar.c
+++ b/relayquar.c
@@ -74,7 +74,7 @@
   char text[REQID_TEXT_SIZE];
   int64_t now_ms;
 
-  r->suspect = false;
+  r->is_suspect = false;
   if (o->quar == NULL || !quar_any (o->quar)
       || !quar_suspects (o->quar, relay_identity (r)))
     return RELAY_QUAR_PASS;
@@ -82,7 +82,7 @@
   v = quar_judge (o->quar, relay_identity (r), count_endpoints (r), now_ms);
   if (v.crashes == 0)
     return RELAY_QUAR_PASS;
-  r->suspect = v.suspect;
+  r->is_suspect = v.suspect;
   if (v.held)
     hold = RELAY_QUAR_REFUSE;
   else if (v.suspect && !has_turn (r, now_us))
@@ -122,7 +122,7 @@
 void
 relay_record_evidence (struct relay *r, enum send_state sent, int64_t now_us)
 {
-  int64_t since = r->has_body ? r->first_byte_us : r->sent_us;
+  int64_t since = r->has_body ? r->first_chunk_us : r->sent_us;
 
   if (r->rs->crash == NULL)
     return;
--- a/relaytry.c
+++ b/relaytry.c
@@ -73,7 +73,7 @@
 static bool
 caller_left (struct relay *r)
 {
-  if (r->desc.caller == NULL || !r->desc.caller->gone (r->desc.arg))
+  if (r->desc.caller == NULL || !r->desc.caller->is_disconnected (r->desc.arg))
     return false;
   r->desc.caller = NULL;
   met_add (MET_CANCELS, 1);
@@ -135,9 +135,9 @@
     pace_sent (&r->endpoint->cold.pace, now);
   pace_sent (&r->endpoint->limit.pace, now);
   r->attempts++;
-  if (r->handed_us == 0)
+  if (r->handed_over_us == 0)
     {
-      r->handed_us = now;
+      r->handed_over_us = now;
       met_observe (MET_HANDOVER_TIME, now - r->received_us);
     }
   return true;
@@ -183,8 +183,8 @@
 
   r->status = head->status;
   r->not_run = head->not_run;
-  r->running = head->running;
-  r->waiting = head->waiting;
+  r->reported_running = head->running;
+  r->reported_waiting = head->waiting;
   if (head->running >= 0)
     pick_reported (r->endpoint, head->running + head->waiting, now);
   take_version (r, head, now);
@@ -217,12 +217,13 @@
   if (!r->stream_begun)
     {
       r->stream_begun = true;
-      r->first_byte_us = loop_now_us ();
+      r->first_chunk_us = loop_now_us ();
       pick_learn (r->rs->opts.fleet, r->endpoint,
-                  r->tokens_ahead + r->shared_unread + r->work.own,
-                  r->first_byte_us - r->sent_us);
-      met_observe (MET_FIRST_TOKEN, r->first_byte_us - r->received_us);
-      relay_record_wait (r, r->first_byte_us);
+                  r->pending_prefill_tokens + r->shared_pending_prefill_tokens
+                      + r->work.own,
+                  r->first_chunk_us - r->sent_us);
+      met_observe (MET_FIRST_TOKEN, r->first_chunk_us - r->received_us);
+      relay_record_wait (r, r->first_chunk_us);
       r->desc.caller->begin (r->desc.arg, r->status,
                              (const char *const *)r->lines);
     }
@@ -320,7 +321,7 @@
   if (r->ntried + 1 >= PICK_EXCLUDE_MAX)
     return false;
   /* Whether its endpoint crashed shows some ms after this. */
-  if (r->suspect && sent != SEND_NONE && sent != SEND_REFUSED)
+  if (r->is_suspect && sent != SEND_NONE && sent != SEND_REFUSED)
     return false;
   if (sent == SEND_NONE)
     return !ours && r->unsent < UNSENT_MAX;
@@ -433,7 +434,7 @@
   int64_t now = loop_now_us ();
 
   r->call = NULL;
-  r->connection_refused = end->refused;
+  r->connection_refused = end->connection_refused;
   conclude (r, send_state_of (r, end->whole), end->error, now);
 }
 
@@ -538,13 +539,14 @@
     pace_place (&r->endpoint->cold.pace, now_us);
   pace_place (&r->endpoint->limit.pace, now_us);
   r->is_prefilling = true;
-  r->tokens_ahead = c->ahead;
-  r->shared_unread = c->has_part ? 0 : r->work.shared - r->work.stored;
+  r->pending_prefill_tokens = c->ahead;
+  r->shared_pending_prefill_tokens
+      = c->has_part ? 0 : r->work.shared - r->work.stored;
   r->handed_over = false;
   r->stop_reason = NULL;
   r->status = 0;
-  r->running = -1;
-  r->waiting = 0;
+  r->reported_running = -1;
+  r->reported_waiting = 0;
   r->not_run = false;
   r->connection_refused = false;
   r->streaming = false;
--- a/relaywork.c
+++ b/relaywork.c
@@ -120,6 +120,7 @@
     if (!r->is_prefilling)
       continue;
     e->unread += r->work.own;
-    e->shared_unread = MAX (e->shared_unread, r->shared_unread);
+    e->shared_unread
+        = MAX (e->shared_unread, r->shared_pending_prefill_tokens);
   }
 }
