--- a/relay.c
+++ b/relay.c
@@ -1,4 +1,4 @@
-/* Requests that are passed on as they are: the life of each one. */
+/* The relay: start and end of each request. */
 #include "librelay.h"
 
 #include <string.h>
@@ -7,15 +7,16 @@
 #include "log.h"
 #include "met.h"
 
-/* Between looks at deadlines: a tenth of the half second in which a timed
-   out request must have its answer. */
-#define SWEEP_US (40 * CQ_US_PER_MS)
-/* Sweeps between looks for callers that hung up: well inside half a second. */
-#define GONE_EVERY 4
+/* Interval of deadline checks, less than a tenth of the half second in which
+   a request that timed out must be answered. */
+#define SWEEP_INTERVAL_US (40 * CQ_US_PER_MS)
+/* Every so many sweeps, callers that hung up are looked for: well within half
+   a second. */
+#define DISCONNECT_CHECK_SWEEPS 4
 
 /* --- small helpers --------------------------------------------------- */
 
-/* A step of splitmix64. */
+/* One step of splitmix64. */
 uint64_t
 relay_random (struct relays *rs)
 {
@@ -27,7 +28,7 @@
 }
 
 static struct relay_service *
-need_service (struct relays *rs, const char *name)
+get_or_add_service (struct relays *rs, const char *name)
 {
   struct relay_service *s = g_hash_table_lookup (rs->services, name);
 
@@ -40,9 +41,9 @@
   return s;
 }
 
-/* Work that a request asks for: tokens to be read, and one for the rest. */
+/* Work that a request asks for: the tokens of its prompt, plus one. */
 static int64_t
-work_of (const struct relay_desc *d)
+requested_tokens (const struct relay_desc *d)
 {
   int64_t work = 1;
   int i;
@@ -68,9 +69,9 @@
 }
 
 /*
- * Keys may have been taken away while this VM could not hear of it, and a VM
- * that was suspended wakes up with old knowledge.  Past the bound, work with
- * a key is refused as not run: a key that was taken away must open nothing.
+ * A key may have been revoked while this VM was cut off from the platform or
+ * suspended.  Once the configuration is older than the limit, requests that
+ * need a key are refused as not run, since a revoked key must not be accepted.
  */
 bool
 relay_is_stale (const struct relay *r, int64_t now_us)
@@ -81,7 +82,6 @@
          && fleet_age_us (o->fleet, now_us) > o->key_max_age_us;
 }
 
-/* Whether the key still opens the route by the newest configuration. */
 bool
 relay_is_key_revoked (const struct relay *r)
 {
@@ -160,7 +160,7 @@
     r->desc.caller->refuse (r->desc.arg, why, retry_after_us);
 }
 
-/* Give the request up: tell the caller now, and only what is true. */
+/* The caller is told "not run" only if no attempt may have run. */
 void
 relay_give_up (struct relay *r, enum outcome outcome, const char *reason,
                int64_t retry_after_us, int64_t now_us)
@@ -184,14 +184,14 @@
 on_sweep (void *arg, int64_t now_us)
 {
   struct relays *rs = arg;
-  bool look = ++rs->sweeps % GONE_EVERY == 0;
+  bool check = ++rs->sweeps % DISCONNECT_CHECK_SWEEPS == 0;
   struct relay *r, *next;
 
   for (r = APR_RING_FIRST (&rs->all);
        r != APR_RING_SENTINEL (&rs->all, relay, link); r = next)
     {
       next = APR_RING_NEXT (r, link);
-      if (look && r->desc.caller != NULL
+      if (check && r->desc.caller != NULL
           && r->desc.caller->is_disconnected (r->desc.arg))
         relay_caller_disconnected (r);
       else if (now_us >= r->deadline_us)
@@ -200,7 +200,7 @@
         relay_withdraw (r, now_us);
     }
   if (rs->count > 0)
-    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_US);
+    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_INTERVAL_US);
 }
 
 /* --- start ----------------------------------------------------------- */
@@ -217,7 +217,7 @@
              (gint64)fleet_age_us (f, now_us));
 }
 
-/* Refuse a request that leads nowhere. */
+/* Refuse a request before it is started. */
 static void
 refuse_early (struct relays *rs, const struct relay_desc *d,
               enum relay_refusal why, const char *reason, int64_t now_us)
@@ -234,10 +234,11 @@
 
 /*
  * A denial says that there is no such route or key, and the caller gives up.
- * But a change counts for what is sent a certain time after the operator had
- * its acknowledgement, and a VM whose knowledge is older than that time may
- * have missed one.  With younger knowledge it cannot: a change that is not in
- * it was acknowledged later, and so does not count yet.
+ * A change of the settings applies to requests that are sent a certain time
+ * after the operator got its acknowledgement.  A VM whose settings are older
+ * than that time may lack such a change, so it answers "not run" instead.  A
+ * change that newer settings lack was acknowledged later and does not apply
+ * yet.
  */
 static void
 deny (struct relays *rs, const struct relay_desc *d, enum relay_refusal why,
@@ -256,7 +257,8 @@
   deny (rs, d, RELAY_TOO_LARGE, "body_too_large", now_us);
 }
 
-/* Who asks; a refusal if the key opens nothing. */
+/* Find the caller's workspace by its key; refuses the request and returns
+   false if the key is not accepted. */
 static bool
 find_workspace (struct relays *rs, const struct relay_desc *d,
                 const struct fleet_route *route,
@@ -289,7 +291,7 @@
   r->conf = fleet_conf_ref (rs->opts.fleet->conf);
   r->route = route;
   r->service = fleet_split_pick (route, digest);
-  r->service_state = need_service (rs, r->service);
+  r->service_state = get_or_add_service (rs, r->service);
   r->received_us = now_us;
   r->deadline_us = now_us + route->timeout_us;
   if (d->deadline_us > 0 && d->deadline_us < r->deadline_us)
@@ -303,12 +305,13 @@
   met_add (MET_RUNNING, 1);
   budget_earn (&r->service_state->budget);
   if (!rs->sweep.armed)
-    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_US);
+    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_INTERVAL_US);
   return r;
 }
 
-/* A VM that starts must not send on what the others know to crash endpoints:
-   after a kill of all VMs each would learn it anew. */
+/* A VM that starts must not forward requests that other VMs know to crash
+   endpoints.  Otherwise, after all VMs were killed, each of them would have to
+   see the crashes again. */
 static bool
 is_evidence_known (const struct relays *rs, int64_t now_us)
 {
@@ -317,8 +320,8 @@
   return o->quar == NULL || o->is_evidence_known (o->quar_arg, now_us);
 }
 
-/* A request that is placed from inside its door's call may end there, so its
-   end must not free it under the door. */
+/* The request may end within this call, and must not be freed before it
+   returns. */
 struct relay *
 relay_start (struct relays *rs, const struct relay_desc *d, int64_t now_us)
 {
@@ -347,11 +350,11 @@
     }
   r = relay_new (rs, d, route, now_us);
   r->workspace = workspace;
-  share_ask (&r->service_state->share, relay_workspace (r), work_of (d),
-             now_us);
+  share_ask (&r->service_state->share, relay_workspace (r),
+             requested_tokens (d), now_us);
   r->rank = relay_rank (r, now_us);
-  admit_ask (&r->service_state->admit, r->rank, work_of (d), now_us);
-  /* Held as if a message were under way, so that it outlives this call. */
+  admit_ask (&r->service_state->admit, r->rank, requested_tokens (d), now_us);
+  /* As if unpause were queued, which keeps relay_finish from freeing it. */
   r->unpause_posted = true;
   relay_place (r, now_us);
   r->unpause_posted = false;
@@ -379,8 +382,9 @@
     }
 }
 
-/* Posted, because the door and the engine's adapter must not call into each
-   other; only once half is free, so that it is worth it. */
+/* Posted, because the ingress and the engine adapter must not call into each
+   other.  The attempt goes on once half of the buffer is free, so that it is
+   not resumed for a few bytes. */
 void
 relay_drained (struct relay *r)
 {
@@ -414,7 +418,7 @@
 /* --- the requests of a worker ---------------------------------------- */
 
 static struct relaycrash *
-make_crash (struct relays *rs)
+new_crash_detection (struct relays *rs)
 {
   struct relaycrash_opts o = { .loop = rs->opts.loop, .quar = rs->opts.quar };
 
@@ -434,7 +438,7 @@
 
   rs->opts = *opts;
   rs->random_state = opts->seed;
-  rs->crash = make_crash (rs);
+  rs->crash = new_crash_detection (rs);
   rs->sweep.fire = on_sweep;
   rs->sweep.arg = rs;
   rs->services
