--- a/relay.h
+++ b/relay.h
@@ -129,7 +129,8 @@
 /* Callbacks of an attempt. */
 struct relay_events
 {
-  /* Called just before the first byte is sent; false stops the attempt. */
+  /* Called just before the first byte is sent; false stops the attempt, and
+     end follows. */
   bool (*before_send) (void *arg);
   /* False stops the attempt; end follows. */
   bool (*head) (void *arg, const struct relay_head *head);
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -1,31 +1,34 @@
-/* Whether a request is let in: what endpoints can do, and who goes first. */
+/* Admission of requests: the capacity of endpoints, and the order of callers.
+ */
 #include "librelay.h"
 
 #include "log.h"
 
-/* Callers leave a stream before its first piece after the longest of these. */
+/* Callers give up on a stream without a first chunk after the longest of: this
+   time, so many target latencies, so many target gaps between events. */
 #define PATIENCE_MIN_US (2000 * CQ_US_PER_MS)
 #define PATIENCE_TARGETS 4
 #define PATIENCE_GAPS 8
 /*
- * Work is refused, in part, when its first piece is expected after this share
- * of the caller's patience, about half of the time in which an answer is worth
- * most.  An endpoint that has fallen behind stays behind, long after what
- * began it: what waits there fills its memory, so more is read anew.  Sum of
- * worth over twelve days by the share: a quarter 6.75, a sixth 6.85, an eighth
- * 6.94.
+ * A part of the requests is refused when the first chunk is expected after
+ * 1 / this of the caller's patience, about half of the time in which an answer
+ * is worth most.  An overloaded endpoint stays overloaded long after the cause
+ * has passed: its queue fills its memory, so that more prompts have to be
+ * processed again.  Total worth of answers over twelve days with a quarter
+ * 6.75, with a sixth 6.85, with an eighth 6.94.
  */
-#define PATIENCE_SHARE 8
+#define PATIENCE_DIVISOR 8
 
-/* A service counts as limited, for the log, when less than this is let in,
-   permille: the share moves by some percent without an overload. */
-#define LIMITED_BELOW 900
+/* A service is logged as limited when less than this is admitted, in permille:
+   the share varies by some percent without an overload. */
+#define LIMITED_BELOW_PERMILLE 900
 
-/* Routes whose callers' time is known: over a long life operators name any
-   number.  What is forgotten is known again after a request. */
-#define USUAL_MAX 1024
+/* Largest number of routes whose usual timeout is kept, since operators may
+   use any number of route names over time.  A dropped one is learned again
+   from the next request. */
+#define USUAL_TIMEOUTS_MAX 1024
 
-/* --- who asks --------------------------------------------------------- */
+/* --- callers ---------------------------------------------------------- */
 
 const char *
 relay_workspace (const struct relay *r)
@@ -43,10 +46,10 @@
   return CLAMP (p, 0, ADMIT_RANKS / 2 - 1);
 }
 
-/* Whether the caller has less time than others of its route, since it was
-   refused before. */
+/* Whether the request looks like a retry after a refusal: its caller has less
+   time left than others of its route. */
 static bool
-has_returned (struct relay *r, int64_t now_us)
+is_retry (struct relay *r, int64_t now_us)
 {
   GHashTable *t = r->rs->usual_timeouts;
   int64_t *usual = g_hash_table_lookup (t, r->route->name);
@@ -55,32 +58,33 @@
     return false;
   if (usual == NULL)
     {
-      if (g_hash_table_size (t) >= USUAL_MAX)
+      if (g_hash_table_size (t) >= USUAL_TIMEOUTS_MAX)
         g_hash_table_remove_all (t);
       usual = g_new0 (int64_t, 1);
       g_hash_table_insert (t, g_strdup (r->route->name), usual);
     }
-  /* No more than the route allows: one caller's hour would make all others
-     look as if they returned. */
+  /* At most the route's timeout counts: otherwise one caller with a deadline
+     of an hour would make all others look like retries. */
   return admit_has_returned (usual, r->deadline_us - now_us);
 }
 
 int
 relay_rank (struct relay *r, int64_t now_us)
 {
-  return admit_rank (relay_priority (r), has_returned (r, now_us));
+  return admit_rank (relay_priority (r), is_retry (r, now_us));
 }
 
-/* --- what answers show ------------------------------------------------ */
+/* --- results of answers ----------------------------------------------- */
 
-/* Two lines for an overload, however the share moves in between. */
+/* Logs two lines for an overload, its start and its end, however the share
+   varies in between. */
 static void
 log_admission (struct relay *r, int64_t now_us)
 {
   struct relay_service *s = r->service_state;
   int keep = admit_keep (&s->admit, now_us);
 
-  if (s->limited ? keep < SHARE_ALL : keep >= LIMITED_BELOW)
+  if (s->limited ? keep < SHARE_ALL : keep >= LIMITED_BELOW_PERMILLE)
     return;
   s->limited = !s->limited;
   log_event (LOG_LEVEL_INFO, "admission",
@@ -100,16 +104,18 @@
   seen.wait_us = now_us - r->sent_us;
   seen.target_us = r->route->target_us;
   pick_first (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
-  /* A caller who leaves early does so for reasons of its own. */
+  /* A caller that hangs up before the target latency does so for reasons of
+     its own. */
   if (r->first_chunk_us == 0 && seen.wait_us < seen.target_us)
     return;
   admit_answered (&r->service_state->admit, &seen, now_us);
   log_admission (r, now_us);
 }
 
-/* --- the share that is let in ----------------------------------------- */
+/* --- the admitted share ----------------------------------------------- */
 
-/* How long a caller waits for the first piece of a stream before it leaves. */
+/* How long a caller waits for the first chunk of a stream before it gives up.
+ */
 static int64_t
 patience_us (const struct relay *r)
 {
@@ -122,28 +128,29 @@
   return p;
 }
 
-/* Permille of the requests like R to let in, while the endpoints queue and a
-   first piece is expected after WAIT_US. */
+/* Permille of requests like R to admit, given the queues of endpoints and a
+   first chunk that is expected after WAIT_US. */
 static int
-share_let_in (const struct relay *r, int64_t wait_us, int64_t now_us)
+admitted_share (const struct relay *r, int64_t wait_us, int64_t now_us)
 {
   const struct relay_service *s = r->service_state;
-  int64_t enough = patience_us (r) / PATIENCE_SHARE;
+  int64_t acceptable_us = patience_us (r) / PATIENCE_DIVISOR;
   int keep = admit_keep (&s->admit, now_us);
 
-  if (wait_us > enough)
-    keep = MIN (keep, (int)(enough * SHARE_ALL / wait_us));
+  if (wait_us > acceptable_us)
+    keep = MIN (keep, (int)(acceptable_us * SHARE_ALL / wait_us));
   keep = admit_keep_rank (&s->admit, r->rank, keep);
   return share_keep (&s->share, relay_workspace (r), keep);
 }
 
 /*
- * An answer that begins too late is none, for this caller or for others.  Sent
- * all the same, the endpoint reads its prompt for nobody, and those behind it
- * become late too, until nobody is answered in time.  A part is refused, so
- * that what is left can be served: refusing all until the wait is over leaves
- * endpoints idle, and then all come at once.  Whose requests these are follows
- * from their urgency and from what each workspace asks for.
+ * An answer that starts too late is of no use.  If the request is sent all the
+ * same, the endpoint processes a prompt for a caller that has left, and delays
+ * the requests queued behind it, until none is answered in time.  So a part of
+ * the requests is refused and the rest can be served.  Refusing all of them
+ * until the queue is empty would leave endpoints idle, and then all callers
+ * would return at once.  Which requests are refused depends on their priority
+ * and on the demand of each workspace.
  */
 int
 relay_admit_permille (const struct relay *r, const struct pick_choice *c,
@@ -155,7 +162,7 @@
     return SHARE_ALL;
   if (r->received_us + wait > r->deadline_us)
     return 0;
-  return share_let_in (r, wait, now_us);
+  return admitted_share (r, wait, now_us);
 }
 
 void
--- a/relaytry.c
+++ b/relaytry.c
@@ -1,4 +1,4 @@
-/* Attempts of requests that are passed on, and what follows each. */
+/* The relay: attempts at requests, and what follows each of them. */
 #include "librelay.h"
 
 #include <string.h>
@@ -6,25 +6,27 @@
 #include "log.h"
 #include "met.h"
 
-/* Attempts that reach no endpoint at all do not count as sent; more than
-   these in a row mean that waiting is no use. */
-#define UNSENT_MAX 4
-/* Largest event of a stream that is held until it is whole. */
-#define EVENT_MAX 65536
-/* Why an attempt is stopped, where another endpoint may do. */
-#define STOPPED_LEFT "endpoint_left"
-#define STOPPED_EVACUATED "domain_evacuated"
-#define STOPPED_OUTDATED "weights_outdated"
-#define STOPPED_COLD "endpoint_cold"
-#define STOPPED_LIMITED "endpoint_limited"
-#define STOPPED_RESTING "endpoint_resting"
-/* Callers who are refused for load return after this part of their time. */
-#define RETURN_PART 3
-/* And not before this: a second request costs about as much. */
-#define RETURN_MIN_US (100 * CQ_US_PER_MS)
-/* Or earlier by up to this part of it: refused together, they should not
-   return together. */
-#define RETURN_SPREAD_PART 5
+/* Attempts of which no byte left do not count against the route's limit.
+   More than this many mean that further attempts are of no use. */
+#define UNSENT_ATTEMPTS_MAX 4
+/* Largest event of a stream that is buffered until it is complete, bytes. */
+#define EVENT_SIZE_MAX 65536
+/* Reasons to stop an attempt that concern only its endpoint: another endpoint
+   may take the request. */
+#define STOP_ENDPOINT_LEFT "endpoint_left"
+#define STOP_DOMAIN_EVACUATED "domain_evacuated"
+#define STOP_WEIGHTS_OUTDATED "weights_outdated"
+#define STOP_ENDPOINT_COLD "endpoint_cold"
+#define STOP_ENDPOINT_LIMITED "endpoint_limited"
+#define STOP_ENDPOINT_BACKOFF "endpoint_resting"
+/* Callers that are refused for overload are told to retry after 1 / this of
+   their remaining time. */
+#define OVERLOAD_RETRY_DIVISOR 3
+/* The least such delay: a second request costs about as much. */
+#define OVERLOAD_RETRY_MIN_US (100 * CQ_US_PER_MS)
+/* The delay is shortened at random by up to 1 / this of it, so that callers
+   refused together do not return together. */
+#define OVERLOAD_JITTER_DIVISOR 5
 
 static int64_t
 retry_after (struct relay *r, int64_t us)
@@ -32,7 +34,7 @@
   return us + (int64_t)(relay_random (r->rs) % (uint64_t)RETRY_JITTER_US);
 }
 
-/* Nothing more can be tried. */
+/* Give up since no endpoint can take another attempt. */
 static void
 give_up_unplaced (struct relay *r, const char *reason, int64_t wait_us,
                   int64_t now_us)
@@ -42,12 +44,12 @@
 }
 
 /*
- * The same request ran before under other ids, and ended the endpoints that it
- * ran at, so "not run" would not be true of it, and there is no time at which
- * it is better sent again: the caller is told at once that it failed.
+ * The same request ran before under other ids, and crashed the endpoints that
+ * it ran at.  "Not run" would be wrong, and a later retry would not help, so
+ * the caller is told at once that the request failed.
  */
 static void
-give_up_held (struct relay *r, int64_t now_us)
+give_up_crashing (struct relay *r, int64_t now_us)
 {
   relay_give_up (r, out_refused (true, relay_is_repeatable (r)),
                  "crashes_endpoints", 0, now_us);
@@ -55,8 +57,8 @@
 
 /* --- attempts -------------------------------------------------------- */
 
-/* Whether the endpoint's weights have been outdated for a limit, 0 for none.
- */
+/* Whether the endpoint's weights have been outdated for at least LIMIT_US;
+   false if LIMIT_US is 0, which means no limit. */
 static bool
 is_outdated (const struct relay *r, int64_t limit_us, int64_t now_us)
 {
@@ -66,12 +68,12 @@
 }
 
 /*
- * A VM that was busy or stood still for most of a second reads requests whose
- * callers have hung up meanwhile.  The sweep finds that out too, but some
- * tenths of a second later, when an endpoint is at work for nobody.
+ * A VM that was busy or suspended for most of a second reads requests whose
+ * callers have hung up in the meantime.  The sweep would detect this some
+ * tenths of a second later, after an endpoint has started to work on them.
  */
 static bool
-caller_left (struct relay *r)
+drop_disconnected_caller (struct relay *r)
 {
   if (r->desc.caller == NULL || !r->desc.caller->is_disconnected (r->desc.arg))
     return false;
@@ -80,9 +82,9 @@
   return true;
 }
 
-/* Other VMs' evidence may have come since the request was placed. */
+/* Evidence of other VMs may have arrived since the endpoint was chosen. */
 static void
-check_hold (struct relay *r, int64_t now_us)
+recheck_quarantine (struct relay *r, int64_t now_us)
 {
   switch (relay_check_quarantine (r, now_us))
     {
@@ -92,7 +94,7 @@
       r->stop_reason = "suspect";
       break;
     case RELAY_QUAR_REFUSE:
-      /* Under other ids, so that it is not said to have not run. */
+      /* It ran under other ids, so the caller must not be told "not run". */
       r->may_have_run = true;
       r->stop_reason = "crashes_endpoints";
       break;
@@ -112,22 +114,22 @@
   else if (now >= r->deadline_us)
     r->stop_reason = "deadline";
   else if (r->endpoint->draining || r->endpoint->gone)
-    r->stop_reason = STOPPED_LEFT;
+    r->stop_reason = STOP_ENDPOINT_LEFT;
   else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->is.domain))
-    r->stop_reason = STOPPED_EVACUATED;
+    r->stop_reason = STOP_DOMAIN_EVACUATED;
   else if (is_outdated (r, r->rs->opts.fleet->old_max_us, now))
-    r->stop_reason = STOPPED_OUTDATED;
-  else if (caller_left (r))
+    r->stop_reason = STOP_WEIGHTS_OUTDATED;
+  else if (drop_disconnected_caller (r))
     r->stop_reason = "caller_gone";
   else if (cold_is (&r->endpoint->cold, now)
            && !pace_may_send (&r->endpoint->cold.pace, now))
-    r->stop_reason = STOPPED_COLD;
+    r->stop_reason = STOP_ENDPOINT_COLD;
   else if (!limit_may_send (&r->endpoint->limit, now))
-    r->stop_reason = STOPPED_LIMITED;
+    r->stop_reason = STOP_ENDPOINT_LIMITED;
   else if (pick_rests (r->endpoint, now))
-    r->stop_reason = STOPPED_RESTING;
+    r->stop_reason = STOP_ENDPOINT_BACKOFF;
   else
-    check_hold (r, now);
+    recheck_quarantine (r, now);
   r->handed_over = r->stop_reason == NULL;
   if (!r->handed_over)
     return false;
@@ -144,12 +146,12 @@
 }
 
 /*
- * What an answer says of its endpoint's weights.  It was so after the attempt
- * was sent.  Another life at the address, and bytes that belong to another
- * request, say nothing of this endpoint.
+ * Apply what an answer says of its endpoint's weights, which held at some time
+ * after the attempt was sent.  An answer of another incarnation at the
+ * address, or one to another request, says nothing of this endpoint.
  */
 static void
-take_version (struct relay *r, const struct relay_head *head, int64_t now_us)
+apply_version (struct relay *r, const struct relay_head *head, int64_t now_us)
 {
   if (head->other_incarnation || !(head->genuine || head->not_run))
     return;
@@ -160,12 +162,12 @@
 }
 
 /*
- * Another life at the address says nothing of this endpoint.  An answer that
- * ran bears all notices; one that was refused or belongs to another request
- * may lack some.
+ * An answer of another incarnation says nothing of this endpoint.  The answer
+ * to a request that ran carries all notices; one that refuses the request, or
+ * belongs to another request, may lack some.
  */
 static void
-take_notice (struct relay *r, const struct relay_head *head, int64_t now_us)
+apply_notice (struct relay *r, const struct relay_head *head, int64_t now_us)
 {
   struct notice_from from = { .source = "answer", .sent_us = r->sent_us };
 
@@ -187,16 +189,17 @@
   r->reported_waiting = head->waiting;
   if (head->running >= 0)
     pick_reported (r->endpoint, head->running + head->waiting, now);
-  take_version (r, head, now);
-  take_notice (r, head, now);
-  /* That life is over, so nothing was sent to an endpoint of the service. */
+  apply_version (r, head, now);
+  apply_notice (r, head, now);
+  /* That incarnation has ended, so the attempt reached no endpoint of the
+     service and is not counted. */
   if (head->other_incarnation)
     {
       r->endpoint->draining = true;
       r->attempts--;
     }
-  /* An answer without the endpoint's mark, or to another request, is never
-     shown to the caller. */
+  /* An answer without the endpoint's seal, or to another request, must not
+     reach the caller. */
   if (!head->not_run && !head->genuine)
     {
       r->stop_reason = "not_genuine";
@@ -209,7 +212,7 @@
 }
 
 static void
-pass_on (struct relay *r, const char *data, size_t len)
+forward_chunk (struct relay *r, const char *data, size_t len)
 {
   if (len == 0)
     return;
@@ -231,23 +234,23 @@
 }
 
 static enum relay_body_result
-take_stream (struct relay *r, const char *data, size_t len)
+forward_stream (struct relay *r, const char *data, size_t len)
 {
   g_autoptr (GString) events = g_string_new (NULL);
 
-  /* A reader that is slower than the engine must not fill the memory. */
+  /* The bytes for a reader slower than the engine must not fill memory. */
   if (r->stream_begun
       && r->desc.caller->pending (r->desc.arg) > r->rs->opts.stream_buffer)
     {
       r->paused = true;
       return RELAY_PAUSE;
     }
-  if (!evt_feed (&r->events, data, len, EVENT_MAX, events))
+  if (!evt_feed (&r->events, data, len, EVENT_SIZE_MAX, events))
     {
       r->stop_reason = "event_too_large";
       return RELAY_STOP;
     }
-  pass_on (r, events->str, events->len);
+  forward_chunk (r, events->str, events->len);
   return RELAY_CONTINUE;
 }
 
@@ -258,7 +261,7 @@
 
   r->has_body = true;
   if (r->streaming)
-    return take_stream (r, data, len);
+    return forward_stream (r, data, len);
   if (r->answer->len + len > r->rs->opts.answer_max)
     {
       r->stop_reason = "answer_too_large";
@@ -284,7 +287,8 @@
 }
 
 static struct out_verdict
-judge (struct relay *r, enum send_state sent, bool left, int64_t now_us)
+decide_next (struct relay *r, enum send_state sent, bool has_attempts_left,
+             int64_t now_us)
 {
   struct out_facts f = { .sent = sent, .status = r->status };
 
@@ -292,18 +296,19 @@
   f.ran_before = r->may_have_run;
   f.caller_has_bytes = r->stream_begun;
   f.resumable = r->route->resumable;
-  f.attempts_left = left;
+  f.attempts_left = has_attempts_left;
   f.deadline_passed = now_us >= r->deadline_us;
   return out_judge (&f);
 }
 
-/* Whether another endpoint may do in its place. */
+/* Whether a stop reason concerns only the endpoint, so that another one may
+   take the request. */
 static bool
-is_of_endpoint (const char *reason)
+is_endpoint_reason (const char *reason)
 {
   static const char *const reasons[]
-      = { STOPPED_LEFT, STOPPED_EVACUATED, STOPPED_OUTDATED,
-          STOPPED_COLD, STOPPED_LIMITED,   STOPPED_RESTING };
+      = { STOP_ENDPOINT_LEFT, STOP_DOMAIN_EVACUATED, STOP_WEIGHTS_OUTDATED,
+          STOP_ENDPOINT_COLD, STOP_ENDPOINT_LIMITED, STOP_ENDPOINT_BACKOFF };
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (reasons); i++)
@@ -313,36 +318,37 @@
 }
 
 static bool
-attempts_left (const struct relay *r, enum send_state sent)
+may_attempt_again (const struct relay *r, enum send_state sent)
 {
-  bool ours = r->stop_reason != NULL && !is_of_endpoint (r->stop_reason);
+  bool final = r->stop_reason != NULL && !is_endpoint_reason (r->stop_reason);
 
-  /* The attempt that is over takes a place as well. */
+  /* The attempt that has just ended takes an entry of tried as well. */
   if (r->ntried + 1 >= PICK_EXCLUDE_MAX)
     return false;
-  /* Whether its endpoint crashed shows some ms after this. */
+  /* Whether it crashed its endpoint is known only some ms later. */
   if (r->is_suspect && sent != SEND_NONE && sent != SEND_REFUSED)
     return false;
   if (sent == SEND_NONE)
-    return !ours && r->unsent < UNSENT_MAX;
+    return !final && r->unsent < UNSENT_ATTEMPTS_MAX;
   return r->attempts < r->route->max_attempts;
 }
 
-/* The retry budget is asked only where an endpoint would see a repeat. */
+/* The retry budget is charged only if an endpoint would see a retry. */
 static struct out_verdict
-judge_with_budget (struct relay *r, enum send_state sent, int64_t now_us)
+decide_with_budget (struct relay *r, enum send_state sent, int64_t now_us)
 {
-  struct out_verdict v = judge (r, sent, attempts_left (r, sent), now_us);
+  struct out_verdict v
+      = decide_next (r, sent, may_attempt_again (r, sent), now_us);
 
   if (v.next == NEXT_FINISH || (sent == SEND_NONE && r->attempts == 0))
     return v;
   if (!budget_spend (&r->service_state->budget))
-    return judge (r, sent, false, now_us);
+    return decide_next (r, sent, false, now_us);
   return v;
 }
 
 static void
-tell_picking (struct relay *r, enum send_state sent, int64_t now_us)
+report_to_pick (struct relay *r, enum send_state sent, int64_t now_us)
 {
   struct fleet_endpoint *e = r->endpoint;
 
@@ -371,8 +377,9 @@
   relay_finish (r, outcome, reason, now_us);
 }
 
-/* The same request comes again under other ids, and at other VMs: only its
-   digest shows in the logs of several ends of endpoints that it was there. */
+/* The same request may return under other ids and at other VMs.  Only its
+   digest shows in the logs that one request was at several endpoints that
+   crashed. */
 static void
 log_attempt (struct relay *r, enum send_state sent,
              const struct out_verdict *v, const char *reason,
@@ -397,17 +404,17 @@
   r->tried[r->ntried++] = fleet_endpoint_ref (r->endpoint);
 }
 
-/* Decide what follows an attempt that is over. */
+/* Decide what follows an attempt that has ended. */
 static void
-conclude (struct relay *r, enum send_state sent, const char *error,
-          int64_t now_us)
+end_attempt (struct relay *r, enum send_state sent, const char *error,
+             int64_t now_us)
 {
-  struct out_verdict v = judge_with_budget (r, sent, now_us);
+  struct out_verdict v = decide_with_budget (r, sent, now_us);
   const char *reason = r->stop_reason != NULL ? r->stop_reason : v.reason;
 
   if (sent != SEND_WHOLE || v.next != NEXT_FINISH)
     log_attempt (r, sent, &v, reason, error, now_us);
-  tell_picking (r, sent, now_us);
+  report_to_pick (r, sent, now_us);
   relay_record_evidence (r, sent, now_us);
   if (sent == SEND_NONE)
     r->unsent++;
@@ -435,7 +442,7 @@
 
   r->call = NULL;
   r->connection_refused = end->connection_refused;
-  conclude (r, send_state_of (r, end->whole), end->error, now);
+  end_attempt (r, send_state_of (r, end->whole), end->error, now);
 }
 
 static const struct relay_events events = {
@@ -446,21 +453,21 @@
 };
 
 /*
- * Work may be found again only under the weights that made it and, for a
- * workspace that shares nothing, by that workspace.  Both are in the scope's
- * name, so whatever an endpoint still holds, nothing else can be found.
+ * Cached KV may be reused only under the weights that computed it and, for an
+ * isolated workspace, only by that workspace.  Both are part of the scope's
+ * name, so no other request can find it, whatever an endpoint still holds.
  */
 static void
-set_scope (struct relay *r, const struct pick_choice *c)
+set_cache_scope (struct relay *r, const struct pick_choice *c)
 {
-  bool alone = r->workspace != NULL && r->workspace->isolated;
+  bool isolated = r->workspace != NULL && r->workspace->isolated;
 
   parts_scope (r->cache_scope, c->endpoint->is.model, c->version,
-               alone ? r->workspace->name : NULL);
+               isolated ? r->workspace->name : NULL);
 }
 
 static struct fleet_homes
-homes_of (const struct relay *r)
+region_limits_of (const struct relay *r)
 {
   struct fleet_homes h = { .route = (const char *const *)r->route->homes };
 
@@ -469,9 +476,9 @@
   return h;
 }
 
-/* Parts that stores keep. */
+/* Plan which parts the endpoint fetches from stores and saves there. */
 static void
-plan_parts (struct relay *r, const struct pick_choice *c, int64_t now_us)
+plan_kept_parts (struct relay *r, const struct pick_choice *c, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
 
@@ -488,15 +495,15 @@
   q.named_us = MAX (fleet_outdated_since (o->fleet, c->endpoint), 0);
   q.wait_us = c->wait_us;
   q.fleet = o->fleet;
-  q.homes = homes_of (r);
+  q.homes = region_limits_of (r);
   parts_plan (o->parts, &q, now_us, &r->plan);
 }
 
-/* For how long newer weights may have been named: 0 if none were, -1 if that
-   is not known. */
+/* Longest time for which newer weights may have been named, 0 if there are
+   none, -1 if that is not known. */
 static int64_t
-newer_us (const struct fleet *f, const struct fleet_endpoint *e,
-          int64_t now_us)
+newer_named_for_us (const struct fleet *f, const struct fleet_endpoint *e,
+                    int64_t now_us)
 {
   int64_t since = fleet_outdated_since (f, e);
 
@@ -506,14 +513,14 @@
 }
 
 /*
- * Time that the endpoint may work on the request.  With outdated weights it is
- * over when nothing may begin on them any more: a VM that is suspended, killed
- * or cut off cannot take back what waits there, and it would begin later. That
- * also ends what began in time and is not done by then; it was sent three
- * seconds before, and most take one.
+ * Time that the endpoint may work on the request.  With outdated weights it
+ * ends when nothing may start on them any more: a VM that is suspended, killed
+ * or disconnected cannot cancel what is queued there, and it would start
+ * later.  This also cuts off requests that started in time but have not ended
+ * by then; they were sent three seconds before, and most take one second.
  */
 static int64_t
-time_for (const struct relay *r, int64_t now_us)
+attempt_timeout_us (const struct relay *r, int64_t now_us)
 {
   const struct fleet *f = r->rs->opts.fleet;
   int64_t since = fleet_outdated_since (f, r->endpoint);
@@ -556,8 +563,8 @@
   evt_restart (&r->events);
   if (model)
     {
-      set_scope (r, c);
-      plan_parts (r, c, now_us);
+      set_cache_scope (r, c);
+      plan_kept_parts (r, c, now_us);
     }
   r->sent_us = now_us;
   s.workspace = r->workspace != NULL ? r->workspace->name : NULL;
@@ -565,7 +572,7 @@
   s.plan = model && r->plan.nfetch + r->plan.nsave > 0 ? &r->plan : NULL;
   s.version = model ? c->version : 0;
   s.priority = relay_priority (r);
-  s.timeout_us = time_for (r, now_us);
+  s.timeout_us = attempt_timeout_us (r, now_us);
   s.resume_after = r->stream_begun ? r->events.last_id : r->desc.resume_after;
 
   met_add (MET_ATTEMPTS, 1);
@@ -583,7 +590,7 @@
       c->over_bound, (gint64)c->ahead, (gint64)c->held, (gint64)c->wait_us,
       r->plan.nfetch, r->plan.nsave, (gint64)r->plan.fetch_tokens,
       (gint64)s.version, (gint64)(newer != NULL ? newer->version : 0),
-      (gint64)newer_us (o->fleet, c->endpoint, now_us),
+      (gint64)newer_named_for_us (o->fleet, c->endpoint, now_us),
       (gint64)(r->endpoint->limit.named ? r->endpoint->limit.milli : -1),
       (gint64)s.timeout_us, (gint64)r->conf->version,
       (gint64)fleet_age_us (o->fleet, now_us));
@@ -591,9 +598,10 @@
   r->call = o->engine.send (o->engine.ctx, &s, &events, r);
 }
 
-/* By chance, as large a part as cannot be let in. */
+/* Refuse at random the share of requests that cannot be admitted. */
 static bool
-is_refused (struct relay *r, const struct pick_choice *c, int64_t now_us)
+is_refused_for_load (struct relay *r, const struct pick_choice *c,
+                     int64_t now_us)
 {
   int keep = relay_admit_permille (r, c, now_us);
 
@@ -603,14 +611,15 @@
   return true;
 }
 
-/* Come back as late as leaves two thirds of the caller's time for the answer:
-   sooner an overload is less likely to be over. */
+/* The caller is told to retry when two thirds of its time are left for the
+   answer; earlier, the overload is less likely to have ended. */
 static void
-refuse_late (struct relay *r, int64_t now_us)
+refuse_overload (struct relay *r, int64_t now_us)
 {
-  int64_t wait = MAX ((r->deadline_us - now_us) / RETURN_PART, RETURN_MIN_US);
+  int64_t wait = MAX ((r->deadline_us - now_us) / OVERLOAD_RETRY_DIVISOR,
+                      OVERLOAD_RETRY_MIN_US);
   int64_t spread = (int64_t)(relay_random (r->rs)
-                             % (uint64_t)(wait / RETURN_SPREAD_PART));
+                             % (uint64_t)(wait / OVERLOAD_JITTER_DIVISOR));
 
   met_add (MET_OVERLOAD, 1);
   relay_give_up (r, out_refused (r->may_have_run, relay_is_repeatable (r)),
@@ -618,7 +627,7 @@
 }
 
 static void
-count_unplaced (enum pick_code code)
+count_unplaced_reason (enum pick_code code)
 {
   if (code == PICK_COLD)
     met_add (MET_COLD, 1);
@@ -632,7 +641,6 @@
     met_add (MET_ABROAD, 1);
 }
 
-/* Find an endpoint for the next attempt, or give up. */
 void
 relay_place (struct relay *r, int64_t now_us)
 {
@@ -653,34 +661,34 @@
       give_up_unplaced (r, "suspect", RETRY_AFTER_FAILURE_US, now_us);
       return;
     case RELAY_QUAR_REFUSE:
-      give_up_held (r, now_us);
+      give_up_crashing (r, now_us);
       return;
     }
   q.affinity = r->route->sticky ? relay_affinity (&r->desc) : NULL;
   memcpy (q.exclude, r->tried, sizeof q.exclude);
   q.nexclude = r->ntried;
-  q.homes = homes_of (r);
+  q.homes = region_limits_of (r);
   q.random = relay_random (r->rs);
   relay_estimate_work (r, now_us);
   q.work = r->work;
   q.loads = o->loads;
   fleet_judge_rates (o->fleet, now_us);
   c = pick_endpoint (o->fleet, &q, now_us);
-  if (c.code == PICK_CHOSEN && is_refused (r, &c, now_us))
-    refuse_late (r, now_us);
+  if (c.code == PICK_CHOSEN && is_refused_for_load (r, &c, now_us))
+    refuse_overload (r, now_us);
   else if (c.code == PICK_CHOSEN)
     attempt (r, &c, now_us);
   else
     {
-      count_unplaced (c.code);
+      count_unplaced_reason (c.code);
       give_up_unplaced (r, pick_code_name (c.code),
                         MAX (c.rest_us, RETRY_AFTER_FAILURE_US), now_us);
     }
 }
 
-/* End the attempt without an answer. */
+/* Cancel the attempt, and decide what follows. */
 static void
-abandon (struct relay *r, const char *reason, int64_t now_us)
+cancel_attempt (struct relay *r, const char *reason, int64_t now_us)
 {
   const struct relay_engine *e = &r->rs->opts.engine;
 
@@ -688,21 +696,22 @@
     e->cancel (e->ctx, r->call);
   r->call = NULL;
   r->stop_reason = reason;
-  conclude (r, send_state_of (r, false), "", now_us);
+  end_attempt (r, send_state_of (r, false), "", now_us);
 }
 
 void
 relay_time_out (struct relay *r, int64_t now_us)
 {
-  abandon (r, "deadline", now_us);
+  cancel_attempt (r, "deadline", now_us);
 }
 
 /*
- * Sent while old weights took work, a request may wait at a busy endpoint
- * longer than the margin that is left for that, and would begin when nobody
- * may have answers by these weights.  Endpoints drop what waits when its
- * connection closes, so it never begins.  Of a call that is answered as a
- * whole nothing is heard while it runs, so that is left alone.
+ * A request that was sent while outdated weights still accepted work may be
+ * queued at a busy endpoint for longer than the margin left for that.  It
+ * would start when answers by these weights are no longer allowed.  Endpoints
+ * drop a queued request when its connection closes, so after a cancel it never
+ * starts.  A call that is not streamed sends nothing while it runs, so it
+ * cannot be told from a queued one and is not cancelled.
  */
 bool
 relay_waits_too_long (const struct relay *r, int64_t now_us)
@@ -714,5 +723,5 @@
 void
 relay_withdraw (struct relay *r, int64_t now_us)
 {
-  abandon (r, STOPPED_OUTDATED, now_us);
+  cancel_attempt (r, STOP_WEIGHTS_OUTDATED, now_us);
 }
--- a/relaywork.c
+++ b/relaywork.c
@@ -1,14 +1,16 @@
-/* What requests that are passed on ask of endpoints, and have under way. */
+/* The load that requests put on endpoints: estimates, and reports to other
+ * VMs.
+ */
 #include "librelay.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Long prompts are told to other VMs: those over this part of an endpoint's
-   memory.  Short ones are many, and read in some ms. */
-#define SMALL_PART 64
+/* Prompts longer than 1 / this of an endpoint's KV capacity are reported to
+   other VMs.  Shorter ones are many, and are processed within some ms. */
+#define LONG_PROMPT_DIVISOR 64
 
-/* --- what a request asks --------------------------------------------- */
+/* --- work of a request ----------------------------------------------- */
 
 const char *
 relay_affinity (const struct relay_desc *d)
@@ -18,26 +20,27 @@
   return d->parts[d->nparts > 1 ? d->nparts - 2 : 0].id;
 }
 
-/* Workspaces that share nothing do not find each other's parts. */
+/* The digest of an isolated workspace's part includes the workspace, so that
+   parts of different workspaces differ. */
 static uint64_t
-part_digest (const struct relay *r, bool alone)
+part_digest (const struct relay *r, bool isolated)
 {
   const char *part = relay_affinity (&r->desc);
-  const char *owner = alone ? r->workspace->name : "";
+  const char *owner = isolated ? r->workspace->name : "";
 
   return XXH3_64bits_withSeed (part, strlen (part),
                                XXH3_64bits (owner, strlen (owner)));
 }
 
-/* What the prompt asks of an endpoint; which weights that will have is not
-   known yet, and most have the newest. */
+/* The endpoint and its weights are not known yet; the newest weights are
+   assumed, since most endpoints have them. */
 void
 relay_estimate_work (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
   const struct fleet_service *sv
       = g_hash_table_lookup (r->conf->services, r->service);
-  bool alone = r->workspace != NULL && r->workspace->isolated;
+  bool isolated = r->workspace != NULL && r->workspace->isolated;
   const struct fleet_wanted *w;
   char scope[PARTS_SCOPE_SIZE];
   int i;
@@ -49,19 +52,19 @@
   for (i = 0; i < r->desc.nparts - 1; i++)
     r->work.shared += r->desc.parts[i].tokens;
   r->work.own = r->desc.parts[i].tokens;
-  r->work.part = part_digest (r, alone);
-  r->is_long_prompt
-      = (r->work.shared + r->work.own) * SMALL_PART > sv->memory_tokens;
+  r->work.part = part_digest (r, isolated);
+  r->is_long_prompt = (r->work.shared + r->work.own) * LONG_PROMPT_DIVISOR
+                      > sv->memory_tokens;
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
   parts_scope (scope, sv->model, w != NULL ? w->version : 1,
-               alone ? r->workspace->name : NULL);
+               isolated ? r->workspace->name : NULL);
   r->work.stored = parts_stored (o->parts, scope, r->desc.parts,
                                  r->desc.nparts - 1, o->domain, now_us);
 }
 
-/* --- what is under way ----------------------------------------------- */
+/* --- work at endpoints ----------------------------------------------- */
 
 void
 relay_notify_work (struct relay *r, int64_t now_us)
@@ -82,7 +85,7 @@
 }
 
 static struct load_entry *
-entry_of (struct load_gossip *w, const struct relay *r)
+get_or_add_entry (struct load_gossip *w, const struct relay *r)
 {
   struct load_entry *e;
   int i;
@@ -100,7 +103,8 @@
   return e;
 }
 
-/* Of too many any, since the rest are no worse known than without a word. */
+/* If there are too many entries, arbitrary ones are left out; of these other
+   VMs know no less than without the message. */
 void
 relays_collect_load (void *ctx, struct load_gossip *w)
 {
@@ -113,7 +117,7 @@
   {
     if (r->endpoint == NULL || !r->is_long_prompt)
       continue;
-    e = entry_of (w, r);
+    e = get_or_add_entry (w, r);
     if (e == NULL)
       continue;
     e->held += r->work.own;
