--- a/adapter.h
+++ b/adapter.h
@@ -1,9 +1,9 @@
 /*
- * What stands outside a VM, each behind one small callback struct.
+ * Interfaces to external systems, one callback struct for each.
  *
- * The server reaches endpoints and the platform only through these.  A test
- * or a bench plugs in its own; epc.c, tabc.c and objc.c plug in HTTP.  All
- * calls and callbacks of one struct run on one thread.
+ * The server reaches endpoints and the platform only through these.  Tests and
+ * benchmarks supply their own; epc.c, storec.c, tabc.c and objc.c implement
+ * them over HTTP.  All calls and callbacks of one struct run on one thread.
  */
 #ifndef CQ_ADAPTER_H
 #define CQ_ADAPTER_H
@@ -21,9 +21,9 @@
   const char *address;        /* IP:PORT */
   const char *path;           /* path of the call */
   const char *const *headers; /* "Name: value" lines, NULL-terminated */
-  const char *body;           /* must stay until the end */
+  const char *body;           /* must stay valid until the call ends */
   size_t body_len;            /* bytes of body */
-  bool may_repeat;            /* false: no transport may send it twice */
+  bool may_repeat;            /* false: the transport must not send it twice */
 };
 
 #define LOAD_REMOVED_MAX 1024 /* cache events taken from one report */
@@ -32,14 +32,14 @@
 struct load_report
 {
   struct route_report route;          /* load, version, incarnation */
-  int64_t filled_tokens;              /* put into its memory so far */
+  int64_t filled_tokens;              /* tokens put into its memory so far */
   int64_t first_event;                /* number of the first event below */
   int64_t next_event;                 /* number after the last one */
   uint64_t removed[LOAD_REMOVED_MAX]; /* blocks it evicted */
   int nremoved;                       /* entries in removed */
 };
 
-/* Answer to a request for a load report. */
+/* Reply to a request for a load report. */
 typedef void (*load_done) (void *arg, bool reached,
                            const struct load_report *report);
 
@@ -59,24 +59,24 @@
   void *ctx; /* passed to all */
 };
 
-/* --- stores of kept KV cache ----------------------------------------- */
+/* --- KV cache stores ------------------------------------------------- */
 
-/* A change in a store: a segment was sealed, or is gone. */
+/* A change in a store: a segment was sealed or deleted. */
 struct store_change
 {
   uint64_t digest;   /* of the segment's last block */
-  uint64_t write_id; /* with it, its name */
-  bool sealed;       /* else it is gone */
+  uint64_t write_id; /* with digest, the segment's name */
+  bool sealed;       /* false: deleted */
 };
 
-/* A store's listing from a number on. */
+/* A store's changes from a number on. */
 struct store_listing
 {
-  char incarnation[40];         /* which life of the store */
+  char incarnation[40];         /* of the store */
   int64_t first;                /* number of the first change below */
   int64_t next;                 /* number after the last one */
   int64_t used;                 /* bytes in use */
-  int64_t capacity;             /* bytes in all */
+  int64_t capacity;             /* bytes in total */
   struct store_change *changes; /* in order */
   int nchanges;                 /* their number */
 };
@@ -108,9 +108,9 @@
 /* A row as the table holds it. */
 struct table_row
 {
-  int index;       /* which write met it, in a conflict */
+  int index;       /* in a conflict: which write failed on it */
   int64_t version; /* grows with each change; 0 if the row does not exist */
-  json_t *value;   /* content, owned by the reply; NULL if there is none */
+  json_t *value;   /* content, owned by the reply, or NULL */
 };
 
 enum table_code
@@ -123,7 +123,7 @@
 
 struct table_reply
 {
-  enum table_code code;   /* how it went */
+  enum table_code code;   /* outcome */
   int nrows;              /* rows below */
   struct table_row *rows; /* written, read, or in conflict */
 };
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -1,53 +1,54 @@
-/* Endpoints that crash under requests of this VM. */
+/* Detection of endpoints that crash under requests of this VM. */
 #include "relaycrash.h"
 
 #include <string.h>
 
 #include "log.h"
 
-/* Requests remembered of one crash: those that had been there for the shortest
-   time, since what crashes an endpoint does so soon after it begins. */
+/* Requests recorded for one crash: those that had run for the shortest time,
+   since a request that crashes an endpoint does so soon after it starts. */
 #define BROKEN_MAX 16
-/* Endpoints that are probed at a time; a failure domain's crash shows at few.
- */
+/* Endpoints that are watched at a time; the crash of a failure domain affects
+   few of them. */
 #define ENDPOINTS_MAX 64
-/* Between probes of an endpoint that lives: one that breaks answers off
-   does so many times a second. */
-#define PROBE_GAP_US (1 * CQ_US_PER_S)
-
-/* A process that is about to end may still take a connection, and closes it
-   with its others: a probe that shows nothing is sent again. */
-#define PROBE_AGAIN_US (100 * CQ_US_PER_MS)
+/* Interval between probes of a running endpoint: one that breaks off answers
+   may do so many times a second. */
+#define PROBE_INTERVAL_US (1 * CQ_US_PER_S)
+
+/* A process that is about to end may still accept a connection, and then close
+   it with the others.  So a probe without a result is repeated after this
+   time, until PROBES_MAX have failed. */
+#define PROBE_RETRY_US (100 * CQ_US_PER_MS)
 #define PROBES_MAX 4
 
-/* A request that broke. */
+/* A request whose connection broke. */
 struct broken
 {
-  struct reqid id; /* which */
-  int64_t ran_ms;  /* for how long it had been there */
+  struct reqid id; /* digest of the request */
+  int64_t ran_ms;  /* time at the endpoint */
 };
 
-/* An endpoint at which some did. */
+/* An endpoint at which connections broke. */
 struct suspect
 {
-  APR_RING_ENTRY (suspect) link;      /* in the list */
-  struct relaycrash *owner;           /* whose */
+  APR_RING_ENTRY (suspect) link;      /* in relaycrash.suspects */
+  struct relaycrash *owner;           /* its list */
   struct fleet_endpoint *endpoint;    /* a reference */
-  struct broken requests[BROKEN_MAX]; /* since it was probed last */
+  struct broken requests[BROKEN_MAX]; /* broken since the last probe */
   int n;                              /* entries in requests */
-  int64_t broke_us;                   /* the first of them broke */
-  int64_t probed_us;                  /* it was probed last */
-  int silent;                         /* probes in a row that showed nothing */
+  int64_t broke_us;                   /* when the first of them broke */
+  int64_t probed_us;                  /* when the last probe was sent */
+  int silent;                         /* consecutive probes without a result */
   bool probing;                       /* a probe is under way */
-  struct loop_timer timer;            /* next probe, or it is dropped */
+  struct loop_timer timer; /* sends the next probe, or drops the entry */
 };
 
 struct relaycrash
 {
-  struct relaycrash_opts opts;                    /* as made */
-  APR_RING_HEAD (suspect_ring, suspect) suspects; /* probed, or to be */
-  int count;                                      /* their number */
-  bool closed; /* freed once no probe is under way */
+  struct relaycrash_opts opts;                    /* copy of the options */
+  APR_RING_HEAD (suspect_ring, suspect) suspects; /* watched */
+  int count;                                      /* length of suspects */
+  bool closed; /* freed when no probe is under way */
 };
 
 static void
@@ -66,12 +67,12 @@
 /* --- evidence -------------------------------------------------------- */
 
 static void
-take_evidence (struct suspect *s, int64_t now_us)
+add_evidence (struct suspect *s, int64_t now_us)
 {
   const struct relaycrash_opts *o = &s->owner->opts;
   int64_t now_ms = o->clock_ms (o->arg, now_us);
   struct quar_fact f = { .done = false };
-  bool news = false;
+  bool is_new = false;
   int i;
 
   f.crash.endpoint = s->endpoint->key;
@@ -80,14 +81,14 @@
     {
       f.id = s->requests[i].id;
       f.crash.ran_ms = s->requests[i].ran_ms;
-      news |= quar_take (o->quar, &f, true);
+      is_new |= quar_take (o->quar, &f, true);
     }
-  if (news)
+  if (is_new)
     o->on_evidence (o->arg, now_us);
 }
 
 static void
-take_notice (struct suspect *s, const struct notice *notice, int64_t now_us)
+apply_notice (struct suspect *s, const struct notice *notice, int64_t now_us)
 {
   struct notice_from from = { .source = "probe", .sent_us = s->probed_us };
 
@@ -117,18 +118,18 @@
       return;
     }
   if (notice != NULL)
-    take_notice (s, notice, now);
+    apply_notice (s, notice, now);
   if (probe == RELAY_PROBE_SILENT && ++s->silent < PROBES_MAX)
     {
-      loop_arm (s->owner->opts.loop, &s->timer, now + PROBE_AGAIN_US);
+      loop_arm (s->owner->opts.loop, &s->timer, now + PROBE_RETRY_US);
       return;
     }
   if (probe == RELAY_PROBE_CRASHED)
-    take_evidence (s, now);
+    add_evidence (s, now);
   s->silent = 0;
   s->n = 0;
-  /* Kept for a while, so that it is not probed too often. */
-  loop_arm (s->owner->opts.loop, &s->timer, s->probed_us + PROBE_GAP_US);
+  /* Kept until the interval has passed, so that it is not probed too often. */
+  loop_arm (s->owner->opts.loop, &s->timer, s->probed_us + PROBE_INTERVAL_US);
 }
 
 static void
@@ -152,7 +153,7 @@
     drop (s);
 }
 
-/* --- breaks ---------------------------------------------------------- */
+/* --- broken connections ---------------------------------------------- */
 
 static struct suspect *
 find (const struct relaycrash *owner, const struct fleet_endpoint *e)
@@ -166,7 +167,7 @@
 }
 
 static struct suspect *
-need (struct relaycrash *owner, struct fleet_endpoint *e)
+get_or_add (struct relaycrash *owner, struct fleet_endpoint *e)
 {
   struct suspect *s = find (owner, e);
 
@@ -183,10 +184,10 @@
   return s;
 }
 
-/* Where the request belongs among those that broke; NULL if all that are
-   remembered had been there for a shorter time. */
+/* Entry for a request that ran for RAN_MS: a free one, or that of the request
+   that ran longest; NULL if all recorded ones ran no longer than this one. */
 static struct broken *
-place_for (struct suspect *s, int64_t ran_ms)
+broken_entry_for (struct suspect *s, int64_t ran_ms)
 {
   struct broken *longest = s->requests;
   int i;
@@ -200,8 +201,8 @@
 }
 
 /*
- * One that was leaving ends for that reason: a release would make evidence of
- * each answer that it cuts off.
+ * An endpoint that is draining stops as announced.  Otherwise each answer that
+ * a release cuts off would become evidence.
  */
 void
 relaycrash_report (struct relaycrash *owner, struct fleet_endpoint *e,
@@ -213,12 +214,12 @@
 
   if (e->draining || e->gone)
     return;
-  s = need (owner, e);
+  s = get_or_add (owner, e);
   if (s == NULL)
     return;
   if (s->n == 0)
     s->broke_us = now_us;
-  b = place_for (s, ran_ms);
+  b = broken_entry_for (s, ran_ms);
   if (b != NULL)
     *b = (struct broken){ *id, ran_ms };
   if (!s->probing && !s->timer.armed)
@@ -241,7 +242,7 @@
   struct suspect *s, *next;
 
   owner->closed = true;
-  /* Held up by itself, so that it outlives the loop. */
+  /* Counted as an entry itself, so that drop does not free it in the loop. */
   owner->count++;
   for (s = APR_RING_FIRST (&owner->suspects);
        s != APR_RING_SENTINEL (&owner->suspects, suspect, link); s = next)
--- a/relaycrash.h
+++ b/relaycrash.h
@@ -1,34 +1,40 @@
 /*
- * Endpoints that crash under requests of this VM.
+ * Detection of endpoints that crash under requests of this VM.
  *
- * All requests at an endpoint break when its process ends, and each sees a
- * closed connection, which may as well be its own: links are reset, and
- * endpoints break answers off and live.  So an endpoint at which one broke is
- * probed once, and only if nothing listens there any more the requests that
- * broke are evidence.  A probe costs a call a crash, not a request.
+ * When the process of an endpoint ends, the connections of all its requests
+ * close.  A connection may also close for other reasons: links are reset, and
+ * an endpoint may break off an answer and continue to run.  So an endpoint at
+ * which a connection broke is probed, and the broken requests become evidence
+ * only if nothing listens there any more.  The probe costs one call for each
+ * crash, not for each request.
  */
 #ifndef CQ_RELAYCRASH_H
 #define CQ_RELAYCRASH_H
 
 #include "relay.h"
 
+/* Crash detection of one worker. */
 struct relaycrash;
 
 struct relaycrash_opts
 {
-  struct loop *loop;                               /* whose thread runs it */
-  const struct relay_engine *engine;               /* adapter */
-  struct quar *quar;                               /* takes the evidence */
-  int64_t (*clock_ms) (void *arg, int64_t now_us); /* the platform's */
-  void (*on_evidence) (void *arg, int64_t now_us); /* there is some */
-  void *arg;                                       /* passed to both */
+  struct loop *loop;                 /* event loop of the worker */
+  const struct relay_engine *engine; /* engine adapter, with probe */
+  struct quar *quar;                 /* stores the evidence */
+  /* The platform's clock in Unix ms, 0 if it is not known. */
+  int64_t (*clock_ms) (void *arg, int64_t now_us);
+  void (*on_evidence) (void *arg, int64_t now_us); /* evidence was added */
+  void *arg;                                       /* for both callbacks */
 };
 
+/* Copies OPTS; what it points to must outlive the result. */
 struct relaycrash *relaycrash_new (const struct relaycrash_opts *opts);
-/* The connection of request ID to E closed after RAN_US at it, not by us. */
+/* E or the network closed the connection of request ID, which had been at E
+   for RAN_US. */
 void relaycrash_report (struct relaycrash *s, struct fleet_endpoint *e,
                         const struct reqid *id, int64_t ran_us,
                         int64_t now_us);
+/* Memory is released once the last probe under way has returned. */
 void relaycrash_free (struct relaycrash *s);
 
 #endif
--- a/relayquar.c
+++ b/relayquar.c
@@ -1,4 +1,4 @@
-/* Requests that are passed on, and the quarantine. */
+/* The relay's use of the quarantine. */
 #include "librelay.h"
 
 #include <string.h>
@@ -15,7 +15,7 @@
   return &r->identity;
 }
 
-/* Endpoints that the request could go to. */
+/* Number of endpoints of the request's service. */
 static int
 count_endpoints (const struct relay *r)
 {
@@ -27,9 +27,9 @@
   return n;
 }
 
-/* Whether another attempt at the same request is under way here. */
+/* Whether this worker runs another attempt at the same request. */
 static bool
-runs_already (struct relay *r)
+is_running_here (struct relay *r)
 {
   struct relay *o;
 
@@ -42,24 +42,22 @@
 }
 
 /*
- * A suspect request came at several VMs at once, and crashed an endpoint at
- * each before any of them heard of the others' crashes.  One at a time, each
- * crash counts before the next run begins.
+ * A suspect request that reaches several VMs at once could crash an endpoint
+ * at each of them before they learn of each other's crashes.  With one run at
+ * a time, each crash is known before the next run starts.
  */
 static bool
-has_turn (struct relay *r, int64_t now_us)
+may_run_suspect (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  return !runs_already (r)
+  return !is_running_here (r)
          && (o->may_run_suspect == NULL
              || o->may_run_suspect (o->quar_arg, relay_identity (r), now_us));
 }
 
-/*
- * Where nothing is known of any request, none is even digested: a calm VM pays
- * nothing for it.
- */
+/* While there is no evidence on any request, no digest is computed, so that
+   the quarantine costs nothing in normal operation. */
 enum relay_quar_decision
 relay_check_quarantine (struct relay *r, int64_t now_us)
 {
@@ -85,7 +83,7 @@
   r->is_suspect = v.suspect;
   if (v.held)
     hold = RELAY_QUAR_REFUSE;
-  else if (v.suspect && !has_turn (r, now_us))
+  else if (v.suspect && !may_run_suspect (r, now_us))
     hold = RELAY_QUAR_DEFER;
   log_event (LOG_LEVEL_INFO, "quarantine",
              "req=%s digest=%s outcome=%s crashes=%d chance=%.1e "
@@ -97,16 +95,16 @@
   return hold;
 }
 
-/* An answer that says it was refused, or gave up in a queue, shows nothing of
-   what a run would have done. */
+/* Whether the request ran to its end.  An endpoint that refuses a request, or
+   drops it from its queue, does not show what a run would have done. */
 static bool
-was_answered (const struct relay *r, enum send_state sent)
+has_run_whole (const struct relay *r, enum send_state sent)
 {
   return sent == SEND_WHOLE && r->stop_reason == NULL && r->status < 500;
 }
 
 static void
-answered (struct relay *r, int64_t now_us)
+record_success (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
   struct quar_fact f = { .done = true };
@@ -126,9 +124,9 @@
 
   if (r->rs->crash == NULL)
     return;
-  if (was_answered (r, sent))
-    answered (r, now_us);
-  /* What we broke off ourselves, or gave up, says nothing. */
+  if (has_run_whole (r, sent))
+    record_success (r, now_us);
+  /* An attempt that this VM cancelled shows nothing. */
   else if (r->stop_reason == NULL
            && (sent == SEND_PARTIAL || sent == SEND_REPLIED))
     relaycrash_report (r->rs->crash, r->endpoint, relay_identity (r),
--- a/reqid.c
+++ b/reqid.c
@@ -6,10 +6,10 @@
 #include <sodium.h>
 #include <string.h>
 
-/* With its length before it, no end of one field can pass for the next one's
-   beginning. */
+/* The length comes first, so that bytes cannot move from the end of one field
+   to the start of the next without a change of the digest. */
 static void
-add (crypto_generichash_state *s, const char *field, size_t len)
+add_field (crypto_generichash_state *s, const char *field, size_t len)
 {
   uint64_t n = len;
 
@@ -18,9 +18,9 @@
 }
 
 /*
- * A cryptographic digest with the workspace in it: what is concluded of a
- * request must not be brought about for another workspace's by one that is
- * made to have the same digest.
+ * The digest is cryptographic and includes the workspace: nobody may craft a
+ * request with the digest of another workspace's request, and so have that one
+ * quarantined.
  */
 void
 reqid_of (const struct relay_desc *d, const char *workspace, struct reqid *id)
@@ -28,11 +28,11 @@
   crypto_generichash_state s;
 
   crypto_generichash_init (&s, NULL, 0, sizeof id->bytes);
-  add (&s, workspace, strlen (workspace));
-  add (&s, d->method, strlen (d->method));
-  add (&s, d->host, strlen (d->host));
-  add (&s, d->target, strlen (d->target));
-  add (&s, d->body, d->body_len);
+  add_field (&s, workspace, strlen (workspace));
+  add_field (&s, d->method, strlen (d->method));
+  add_field (&s, d->host, strlen (d->host));
+  add_field (&s, d->target, strlen (d->target));
+  add_field (&s, d->body, d->body_len);
   crypto_generichash_final (&s, id->bytes, sizeof id->bytes);
 }
 
--- a/reqid.h
+++ b/reqid.h
@@ -1,4 +1,4 @@
-/* What makes two requests the same, however their callers number them. */
+/* Digests that identify equal requests, whatever ids their callers give. */
 #ifndef CQ_REQID_H
 #define CQ_REQID_H
 
@@ -9,17 +9,18 @@
 
 struct relay_desc;
 
-/* Digest of what is asked, and by whom. */
+/* Digest of the content of a request and its workspace. */
 struct reqid
 {
-  uint8_t bytes[REQID_BYTES]; /* of BLAKE2b */
+  uint8_t bytes[REQID_BYTES]; /* a BLAKE2b hash */
 };
 
-/* WORKSPACE asks for D; "" if nobody was named.  Equal for a caller that sends
-   the same again, under any attempt id and at any VM. */
+/* Compute the digest of D as WORKSPACE sends it, "" for none.  It is equal
+   when a caller sends the same request again, with any attempt id and at any
+   VM. */
 void reqid_of (const struct relay_desc *d, const char *workspace,
                struct reqid *id);
-/* In hex, for the log. */
+/* Write ID to TEXT in hex, for the log; returns TEXT. */
 const char *reqid_text (const struct reqid *id, char text[REQID_TEXT_SIZE]);
 
 #endif
