--- a/regress/path.sh
+++ b/regress/path.sh
@@ -1,5 +1,5 @@
-# The whole path: a prompt goes to one of two engines and its stream comes
-# back whole; a stop ends with exit code 0.
+# End to end: a prompt is sent to one of two engines, its stream is returned
+# complete, and a terminated VM exits with code 0.
 . ./lib.sh || exit 1
 usual_base e1 e2
 start_vm a
--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -1,4 +1,4 @@
-/* Requests that are passed on, played. */
+/* Test harness for the relay. */
 #include "relayplay.h"
 
 #include <glib.h>
@@ -7,7 +7,7 @@
 static char *no_headers[] = { NULL };
 char *play_seal[] = { (char *)"Seal: x", NULL };
 
-/* --- the played engine ----------------------------------------------- */
+/* --- simulated engine ------------------------------------------------ */
 
 static void *
 engine_send (void *ctx, const struct relay_attempt *s,
@@ -55,7 +55,7 @@
   p->probe_arg = arg;
 }
 
-/* --- the played platform and other VMs ------------------------------- */
+/* --- simulated platform and other VMs -------------------------------- */
 
 static int64_t
 clock_ms (void *arg, int64_t now_us)
@@ -82,7 +82,7 @@
   return p->evidence_known;
 }
 
-/* --- the played caller ----------------------------------------------- */
+/* --- simulated caller ------------------------------------------------ */
 
 static void
 on_answer (void *arg, int status, const char *const *lines, const char *body,
@@ -156,7 +156,7 @@
   .refuse = on_refuse,
 };
 
-/* --- setting up ------------------------------------------------------ */
+/* --- setup ----------------------------------------------------------- */
 
 struct fleet_conf *
 play_conf (int64_t version, enum fleet_kind kind, const char *key)
@@ -292,7 +292,6 @@
   loop_run (p->loop);
 }
 
-/* The engine's answer, told as far as the test wants. */
 void
 play_head (struct play *p, int status)
 {
@@ -317,7 +316,6 @@
   p->event->end (p->arg, &e);
 }
 
-/* The attempt is let go, and a whole answer with this body comes. */
 void
 play_answer (struct play *p, const char *text)
 {
@@ -327,8 +325,6 @@
   play_end (p, true, true);
 }
 
-/* The attempt is let go, and a whole answer with this head and no body comes.
- */
 void
 play_answer_head (struct play *p, const struct relay_head *h)
 {
--- a/regress/relayplay.h
+++ b/regress/relayplay.h
@@ -1,6 +1,6 @@
 /*
- * Requests that are passed on, played: an engine, a caller, the platform and
- * other VMs that a test moves, so that each fault comes at its exact moment.
+ * Test harness for the relay: a simulated engine, caller, platform and other
+ * VMs, driven by a test so that each fault happens at an exact point.
  */
 #ifndef CQ_RELAYPLAY_H
 #define CQ_RELAYPLAY_H
@@ -10,70 +10,71 @@
 #define PLAY_STALE_US (4 * CQ_US_PER_S)
 #define PLAY_DENY_US (2 * CQ_US_PER_S)
 
-/* What a test plays and sees. */
+/* State that a test sets, and results that it checks. */
 struct play
 {
-  struct loop *loop;                /* for timers; not run unless said */
-  struct fleet fleet;               /* beliefs */
+  struct loop *loop;                /* for timers; runs only in play_run */
+  struct fleet fleet;               /* known endpoints and configuration */
   struct relays *relays;            /* under test */
-  struct relay *relay;              /* the request */
-  struct relay_desc desc;           /* as described */
-  const struct relay_events *event; /* of the attempt */
-  void *arg;                        /* for them */
-  int sends;                        /* attempts so far */
+  struct relay *relay;              /* the request last started */
+  struct relay_desc desc;           /* describes it */
+  const struct relay_events *event; /* callbacks of the last attempt */
+  void *arg;                        /* for these */
+  int sends;                        /* attempts started */
   int cancels;                      /* attempts cancelled */
   char to[4][FLEET_NAME_SIZE];      /* where each went */
   int64_t resume_after;             /* of the last attempt */
   int64_t left_us;                  /* of the last attempt */
   char scope[64];                   /* cache scope of the last attempt */
-  GString *got;                     /* bytes the caller got */
+  GString *got;                     /* body bytes that the caller got */
   int status;                       /* status it got, 0 for none */
   int refused;                      /* enum relay_refusal, -1 for none */
   int64_t retry_after_us;           /* with the refusal */
-  int ended;                        /* 1 whole, 0 broken, -1 not ended */
+  int ended;                        /* 1 complete, 0 broken, -1 not ended */
   bool gone;                        /* the caller hung up */
-  size_t untaken;                   /* bytes that the caller has not taken */
-  int unpauses;                     /* attempts that were let go on */
+  size_t untaken;                   /* bytes that the caller has not read */
+  int unpauses;                     /* times that an attempt was unpaused */
   struct quar *quar;                /* evidence */
-  bool evidence_known;              /* that of other VMs was read */
-  int observed;                     /* times that this VM saw some */
-  relay_probe_done probe;           /* question under way, or NULL */
-  void *probe_arg;                  /* for it */
-  int probes;                       /* questions so far */
-  bool turn;                        /* this VM may send suspect requests */
+  bool evidence_known;              /* evidence of other VMs was read */
+  int observed;                     /* times that this VM added evidence */
+  relay_probe_done probe; /* callback of the probe under way, or NULL */
+  void *probe_arg;        /* for it */
+  int probes;             /* probes so far */
+  bool turn;              /* this VM may send suspect requests */
 };
 
-/* Lines of an endpoint's own answer; ends with NULL. */
+/* Header lines of a genuine answer, NULL-terminated. */
 extern char *play_seal[];
 
-/* A configuration with one route of KIND, opened by KEY. */
+/* A configuration with one route of KIND and one key, KEY. */
 struct fleet_conf *play_conf (int64_t version, enum fleet_kind kind,
                               const char *key);
-/* Its route. */
+/* The route of the present configuration. */
 struct fleet_route *play_route (struct play *p);
-/* One more endpoint is listed. */
+/* List one more endpoint. */
 void play_add_endpoint (struct play *p, const char *id);
-/* A VM with two endpoints, a and b, and one request described. */
+/* A VM with two endpoints, a and b, and one request that is not started. */
 struct play *play_new (enum fleet_kind kind);
-/* The request comes. */
+/* Start the request. */
 void play_start (struct play *p);
-/* The endpoint that is listed as ID, or NULL. */
+/* The endpoint with this id, or NULL. */
 struct fleet_endpoint *play_endpoint (struct play *p, const char *id);
-/* The attempt must not be let go, and a second endpoint answers instead. */
+/* The attempt must be stopped before its first byte, and a second endpoint
+   answers instead. */
 void play_moves_on (struct play *p);
-/* All requests must have ended. */
+/* Free P; all requests must have ended. */
 void play_free (struct play *p);
 /* Run the loop for US. */
 void play_run (struct play *p, int64_t us);
-/* The head of an answer comes. */
+/* Deliver the head of a genuine answer. */
 void play_head (struct play *p, int status);
-/* Part of its body comes. */
+/* Deliver part of its body. */
 void play_body (struct play *p, const char *text);
-/* The attempt is over. */
+/* End the attempt. */
 void play_end (struct play *p, bool handed_over, bool whole);
-/* The attempt is let go, and a whole answer with this body comes. */
+/* Let the attempt be sent, and deliver a complete answer with this body. */
 void play_answer (struct play *p, const char *text);
-/* Likewise with this head and no body. */
+/* The same with this head and no body. */
 void play_answer_head (struct play *p, const struct relay_head *h);
 
 #endif
--- a/regress/streams.sh
+++ b/regress/streams.sh
@@ -1,6 +1,6 @@
-# Streams that break.  The caller sees the whole answer, pieced together from
-# two engines of the same weight version, or a visible end in an error event;
-# never a shortened answer that looks finished.
+# Streams that break.  The caller gets the complete answer, resumed at a second
+# engine with the same weight version, or a stream that ends with an error
+# event.  Guards against a truncated answer that looks complete.
 . ./lib.sh || exit 1
 usual_base e1 e2
 sed -i 's/^version = v1/version = v1\nstall_ms = 500\nattempts = 2/' "$tmp/base.ini"
@@ -27,14 +27,15 @@
 echo "broken every time: $(finished), error event $(grep -c '^event: error' "$tmp/body"), $(sed -n 's/.*"outcome":"\([a-z-]*\)".*/\1/p' "$tmp/body"), curl exit code $status"
 both '{"breaks":0}'
 
-# A break before the first token is a fresh start elsewhere.
+# After a break before the first token the request starts again at the other
+# engine.
 control e1 '{"break_after":0,"breaks":1}'
 until has_line "$tmp/a.log" event=retry; do
 	post a ws /v1/completions "$(prompt tale 20 true)" >/dev/null
 done
 [ "$(texts)" = "$whole" ] && echo "broken before the first token: same text, $(finished)"
 
-# The engine says one version in its report and answers with another.
+# The engine's load report gives one version, and its answers another.
 both '{"lag_ms":600000}'
 sleep 0.3
 control e1 '{"version":"v2"}'
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of requests that are passed on, between an engine and a caller
- * that the test plays, so that each fault comes at its exact moment.
+ * Unit tests of the relay between a simulated engine and a simulated caller,
+ * so that each fault happens at an exact point.
  */
 #include <glib.h>
 #include <string.h>
@@ -11,12 +11,12 @@
 /* --- freshness ------------------------------------------------------- */
 
 /*
- * The VM is suspended after it placed a request and before the first byte
- * left.  Meanwhile the key was taken away; the VM cannot know.  The last look
- * finds its knowledge too old: the caller is told "not run", which is true.
+ * Guards against the use of a revoked key by a VM that is suspended between
+ * the choice of an endpoint and the first byte.  The last check finds that the
+ * settings are too old, and the caller is told "not run".
  */
 static void
-test_frozen_before_send (void)
+test_suspended_before_send (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
 
@@ -31,7 +31,7 @@
   play_free (p);
 }
 
-/* The configuration that takes the key away arrives in the same gap. */
+/* The same, and the settings without the key arrive before the first byte. */
 static void
 test_revoked_before_send (void)
 {
@@ -45,9 +45,8 @@
   play_free (p);
 }
 
-/* A key that this VM does not know may have been added while it could not
-   hear: it says "not run", not "no such key".  With fresh knowledge it is
-   sure. */
+/* A key that this VM does not know may have been added while it was cut off:
+   with old settings it answers "not run", with current ones "no such key". */
 static void
 test_unknown_key (void)
 {
@@ -64,11 +63,10 @@
 }
 
 /*
- * The operator added a route, a key, and room for larger bodies two seconds
- * ago, and this VM has not heard of it: an answer is still on its way.  It
- * answers 503 where it would have answered 404, 401 or 413, and the caller
- * comes back; what it does know goes on.  Just before that its denials stand:
- * what it has not heard of by then does not count yet.
+ * Guards against a 404, 401 or 413 for what the operator added two seconds ago
+ * while this VM has not received it yet.  It answers 503 instead, so that the
+ * caller retries, and serves what it knows.  With settings that are one
+ * microsecond newer it denies: a change that they lack does not apply yet.
  */
 static void
 check_denial (struct play *p, int why)
@@ -88,7 +86,7 @@
 }
 
 static void
-test_behind_denies_nothing (void)
+test_old_settings_deny_nothing (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
 
@@ -109,10 +107,10 @@
   play_free (p);
 }
 
-/* The same for a body that its door stopped reading, and for a VM that knows
-   no settings yet: it denies nothing at all. */
+/* The same for a body that the ingress stopped reading, and for a VM that has
+   no settings yet: it denies nothing. */
 static void
-test_too_large_at_door (void)
+test_too_large_at_ingress (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   int64_t now = loop_now_us ();
@@ -128,9 +126,9 @@
 /* --- at most once ---------------------------------------------------- */
 
 /*
- * A truck is ordered; the connection breaks after the call was handed over.
- * It may be on its way, so it is not ordered again, and the caller hears that
- * nobody knows, not that it did not run.
+ * Guards against a second run of a call that may run only once.  The
+ * connection breaks after the call was sent, so it may have run: it is not
+ * sent again, and the caller is told "unknown", not "not run".
  */
 static void
 test_once (void)
@@ -145,7 +143,7 @@
   play_free (p);
 }
 
-/* No connection came about: nothing ran, another endpoint may have it. */
+/* The connection failed, so nothing ran: another endpoint gets the call. */
 static void
 test_once_unreached (void)
 {
@@ -160,7 +158,7 @@
   play_free (p);
 }
 
-/* Both endpoints say that they did not run it: so does the answer. */
+/* Both endpoints answer that they did not run it: the caller is told so. */
 static void
 test_refused_by_all (void)
 {
@@ -182,12 +180,12 @@
 }
 
 /*
- * The endpoint restarted, or its address went to another service: another life
- * answers that it does not run the request.  Nothing was sent to an endpoint
- * of the service, so one that allows a single attempt may still have it.
+ * The endpoint restarted, or another service got its address: another
+ * incarnation answers that it does not run the request.  Nothing was sent to
+ * an endpoint of the service, so even a route with a single attempt goes on.
  */
 static void
-test_other_life (void)
+test_other_incarnation (void)
 {
   struct play *p = play_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
@@ -203,9 +201,9 @@
   play_free (p);
 }
 
-/* Guards against an attempt more than a request has room to remember. */
+/* Guards against more attempts than a request can record. */
 static void
-test_all_gone (void)
+test_attempts_bounded (void)
 {
   struct play *p = play_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
@@ -227,10 +225,10 @@
   play_free (p);
 }
 
-/* Guards against each request asking an endpoint anew that refused the
-   connection of the one before. */
+/* Guards against requests that are sent to an endpoint right after it refused
+   the connection of the previous one. */
 static void
-test_absent_rests (void)
+test_connection_refused_backoff (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct relay_end refused = { .connection_refused = true, .error = "" };
@@ -252,9 +250,9 @@
 }
 
 /*
- * Weights changed under a VM that had not heard: the endpoint refuses the
- * version that was expected.  It is alive and stays in use; taken for another
- * life, it would get nothing from this VM any more.
+ * An endpoint loaded other weights than this VM knows of, and refuses the
+ * expected version.  It must stay in use: taken for another incarnation, it
+ * would get no more requests from this VM.
  */
 static void
 test_other_version (void)
@@ -276,11 +274,11 @@
 /* --- answers --------------------------------------------------------- */
 
 /*
- * An answer to another request arrives late on a kept connection.  Showing it
- * would hand one caller's data to another; the request is tried again.
+ * Guards against one caller getting another's data: the answer to an earlier
+ * request arrives late on a reused connection.  The request is retried.
  */
 static void
-test_not_genuine (void)
+test_answer_to_other_request (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct relay_head h = { .status = 200, .running = -1 };
@@ -298,9 +296,9 @@
 }
 
 /*
- * A stream breaks in the middle of its third event.  The caller has two; the
- * run goes on elsewhere behind the second, repeats it, and the caller sees
- * one stream without a seam.
+ * A stream breaks in the middle of its third event.  It is resumed after the
+ * second one at another endpoint, which repeats the second event; the caller
+ * gets each event once.
  */
 static void
 test_resume (void)
@@ -322,7 +320,7 @@
   play_free (p);
 }
 
-/* A stream that may not resume breaks: it must not look finished. */
+/* A stream that cannot be resumed breaks: it must not look complete. */
 static void
 test_no_resume (void)
 {
@@ -340,9 +338,9 @@
 }
 
 /*
- * A caller reads slower than the engine writes.  Its bytes must not fill the
- * VM's memory: the engine is held back above the bound, and goes on once half
- * is taken, with the bytes that it had to keep.
+ * Guards against memory filling up for a caller that reads slower than the
+ * engine writes.  Above the limit the attempt is paused; it goes on once half
+ * of the buffer is free, with the bytes that were held back.
  */
 static void
 test_slow_reader (void)
@@ -371,8 +369,8 @@
   play_free (p);
 }
 
-/* Work is found again only under its weights and, for a workspace that shares
-   nothing, its owner: both are in the scope's name. */
+/* The cache scope names the weights and, for an isolated workspace, the
+   workspace, so that no other request can use its cache. */
 static void
 test_scope (void)
 {
@@ -387,8 +385,8 @@
 
 /* --- repeats and time ------------------------------------------------ */
 
-/* An outage must not be doubled by repeats: beyond the burst and the share
-   of requests, a failed request is answered at once. */
+/* Guards against retries that double the load of an outage: beyond the burst
+   and a share of the requests, a failed request is answered at once. */
 static void
 test_budget (void)
 {
@@ -407,14 +405,14 @@
       pick_worked (APR_RING_FIRST (&p->fleet.endpoints));
       pick_worked (APR_RING_LAST (&p->fleet.endpoints));
     }
-  /* Twenty requests, a burst of four, a tenth of what came. */
+  /* Twenty requests, a burst of four retries, and a tenth of the requests. */
   g_assert_cmpint (p->sends, >=, 24);
   g_assert_cmpint (p->sends, <=, 26);
   play_free (p);
 }
 
-/* The endpoint never answers: at the route's own limit the caller hears so,
-   and the run is cancelled. */
+/* The endpoint never answers: at the route's timeout the caller is told so,
+   and the attempt is cancelled. */
 static void
 test_timeout (void)
 {
@@ -431,12 +429,12 @@
 }
 
 /*
- * The VM was busy; the caller hung up before its request was sent on.  Sent
- * all the same, it would run for nobody; the caller hears nothing, since it
- * is not there.
+ * The VM was busy, and the caller hung up before its request was sent.  The
+ * request is not sent, since its answer would reach no one, and no callback
+ * follows.
  */
 static void
-test_gone_before_send (void)
+test_disconnected_before_send (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
 
@@ -451,14 +449,13 @@
 }
 
 /*
- * Work may begin on old weights until twelve seconds after newer ones were
- * named; old_max_us, after which none is sent, is three seconds less.  A
- * request that waits at its endpoint when its VM stands still, or falls
- * silent, is not called back: only the time that the endpoint was told can
- * end its waiting before the bound.
+ * Work may start on old weights until twelve seconds after newer ones were
+ * named, and is sent to them until three seconds before that.  A VM that is
+ * suspended or cut off cannot cancel a request that is queued at its endpoint:
+ * only the timeout sent with the request ends the wait before the limit.
  */
 static void
-test_old_weights_wait (void)
+test_old_weights_timeout (void)
 {
   struct play *p = play_new (FLEET_STREAM);
   int64_t now = loop_now_us ();
@@ -475,8 +472,8 @@
   play_free (p);
 }
 
-/* The caller hangs up while the endpoint works: the run is cancelled without
-   waiting for the endpoint. */
+/* The caller hangs up while the endpoint works: the attempt is cancelled at
+   once. */
 static void
 test_hang_up (void)
 {
@@ -491,8 +488,8 @@
   play_free (p);
 }
 
-/* How many of a thousand requests are sent when each endpoint's wait was
-   WAIT_US, SILENT_US ago; the others must hear that they were not run. */
+/* Number of a thousand requests that are sent if each endpoint's wait was
+   WAIT_US, measured SILENT_US ago; the others must be refused as not run. */
 static int
 count_sent (struct play *p, int64_t wait_us, int64_t silent_us)
 {
@@ -525,11 +522,11 @@
 }
 
 /*
- * Both endpoints have fallen behind: answers began after 1.5 s lately, and a
- * caller should not wait for more than 0.25 s.  Five of six are told at once
- * that they were not run, and when to come back; the others can be served.
- * Refused all together, endpoints would stand idle until all return at once.
- * Without a word from an endpoint its wait shrinks, and soon all are sent.
+ * Both endpoints are overloaded: answers started after 1.5 s recently, and a
+ * caller should not wait for more than 0.25 s.  Five of six requests are
+ * refused at once as not run, with a time to retry; the others can be served.
+ * If all were refused, endpoints would be idle until all return at once.
+ * Without new measurements the expected wait shrinks, and soon all are sent.
  */
 static void
 test_too_late (void)
@@ -548,10 +545,10 @@
   play_free (p);
 }
 
-/* A request whose first piece comes from an endpoint where eight wait beside
-   the two that run; false if it was refused at once. */
+/* Run a request at an endpoint that reports two running and eight waiting
+   requests; false if it was refused at once. */
 static bool
-answered_beside_queue (struct play *p)
+run_at_queueing_endpoint (struct play *p)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = 2 };
 
@@ -572,12 +569,12 @@
 
 /*
  * Endpoints answer fast, but four times as many requests wait there as run.
- * After some seconds of that callers hear at once that they were not run, and
- * to come back when a third of their time is over; a few are still let in.
- * Without it queues fill until answers are late, and the wait shows it then.
+ * After some seconds callers are refused at once as not run, and told to retry
+ * after a third of their time; a few are still admitted.  Otherwise queues
+ * would fill until answers are late, and only the wait would show it.
  */
 static void
-test_queue_told (void)
+test_queue_reported (void)
 {
   struct play *p = play_new (FLEET_STREAM);
   int i, sent = 0;
@@ -585,10 +582,10 @@
   for (i = 0; i < 200; i++)
     {
       play_run (p, 10 * CQ_US_PER_MS);
-      sent += answered_beside_queue (p);
+      sent += run_at_queueing_endpoint (p);
     }
   g_assert_cmpint (sent, <=, 150);
-  while (answered_beside_queue (p))
+  while (run_at_queueing_endpoint (p))
     sent++;
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, <=, 2 * CQ_US_PER_S);
@@ -598,12 +595,12 @@
 }
 
 /*
- * One caller says that it waits for an hour, and others as long as the route
- * allows.  They would all seem to have been refused before, and go behind; so
- * a longer time than the route's counts as that.
+ * One caller sends a deadline of an hour, the others the route's timeout.
+ * Guards against these being taken for retries and ranked last: a longer
+ * deadline counts as the route's timeout.
  */
 static void
-test_endless_caller (void)
+test_long_deadline (void)
 {
   struct play *p = play_new (FLEET_STREAM);
   int64_t hour = INT64_C (3600) * CQ_US_PER_S;
@@ -618,7 +615,8 @@
   play_free (p);
 }
 
-/* Nothing is known yet, as after a start without the platform: "not run". */
+/* No endpoints are known yet, as after a start without the platform: the
+   answer is "not run". */
 static void
 test_nothing_known (void)
 {
@@ -632,8 +630,8 @@
 
 /* --- old weights ----------------------------------------------------- */
 
-/* Weights of A become outdated now, B has newer ones; old ones take work for
-   100 ms more, and nothing may begin on them after 300 ms. */
+/* The weights of A become outdated now, and B has newer ones.  Old weights
+   accept work for 100 ms more, and nothing may start on them after 300 ms. */
 static void
 outdate (struct play *p)
 {
@@ -641,7 +639,7 @@
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int64_t now = loop_now_us ();
 
-  /* Callers wait long enough for a second try not to be too late. */
+  /* Callers wait long enough for a second attempt. */
   play_route (p)->target_us = 10 * CQ_US_PER_S;
   p->fleet.old_max_us = 100000;
   p->fleet.old_end_us = 300000;
@@ -654,9 +652,9 @@
 }
 
 /*
- * A stream goes to an endpoint with old weights while these still take work,
- * and waits there behind others.  Left alone, it would begin after the bound
- * for old weights.  It is withdrawn, and goes to newer ones.
+ * A stream is sent to an endpoint whose old weights still accept work, and is
+ * queued there.  It would start after the limit for old weights, so it is
+ * cancelled and sent to an endpoint with newer ones.
  */
 static void
 test_withdrawn_from_old_weights (void)
@@ -676,8 +674,8 @@
   play_free (p);
 }
 
-/* The same, and the stream may not run twice: it may have begun, so the caller
-   is told at once that nothing is known, and nothing else is sent. */
+/* The same with a stream that must not run twice: it may have started, so the
+   caller is told "unknown" at once, and nothing else is sent. */
 static void
 test_withdrawn_once (void)
 {
@@ -694,12 +692,12 @@
 }
 
 /*
- * The VM is suspended after it sent the stream, and can take nothing back. The
- * endpoint was told how long it may work on it: until the bound, not as long
- * as the caller waits.  With newest weights it has the caller's time.
+ * A VM that is suspended after it sent a stream cannot cancel it.  So the
+ * timeout sent to an endpoint with old weights ends at the limit for these,
+ * not at the caller's deadline as with the newest weights.
  */
 static void
-test_time_on_old_weights (void)
+test_timeout_on_old_weights (void)
 {
   struct play *p = play_new (FLEET_STREAM);
 
@@ -714,9 +712,9 @@
   play_free (p);
 }
 
-/* A stream that has begun is whole, whatever its weights. */
+/* A stream that has started is completed, whatever its weights. */
 static void
-test_begun_on_old_weights (void)
+test_started_on_old_weights (void)
 {
   struct play *p = play_new (FLEET_STREAM);
 
@@ -732,11 +730,10 @@
 }
 
 /*
- * A plain call to an endpoint with old weights, which take work.  It runs
- * there since it was sent, and nothing is heard of it until its answer is
- * whole. Taken for one that waits, it is broken off at the bound: the caller
- * of a call that may run once gets no answer, though the endpoint is about to
- * give it.
+ * A call that is not streamed runs at an endpoint with old weights, and sends
+ * nothing until its answer is complete.  Guards against cancelling it at the
+ * limit like a queued request: the caller of a call that may run only once
+ * would lose an answer that the endpoint is about to send.
  */
 static void
 test_running_on_old_weights (void)
@@ -754,8 +751,8 @@
   play_free (p);
 }
 
-/* The connection stands only when old weights take no more work: nothing
-   leaves, and newer ones are tried. */
+/* The connection is established only after old weights stopped accepting work:
+   nothing is sent, and newer weights are tried. */
 static void
 test_connected_too_late (void)
 {
@@ -771,10 +768,10 @@
   play_free (p);
 }
 
-/* --- endpoints that start again -------------------------------------- */
+/* --- endpoints that restart ------------------------------------------ */
 
 static struct fleet_endpoint *
-start_again (struct play *p, const char *id, int64_t born_ms)
+restart_endpoint (struct play *p, const char *id, int64_t born_ms)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
   struct fleet_listing l = e->is;
@@ -784,8 +781,8 @@
 }
 
 /*
- * Its endpoint starts again while the request connects: nothing left, so it is
- * sent to the next life as if it were the first time.
+ * The endpoint restarts while the request connects.  No byte has left, so the
+ * request is sent as if for the first time.
  */
 static void
 test_restart_before_send (void)
@@ -793,7 +790,7 @@
   struct play *p = play_new (FLEET_ONCE);
 
   play_start (p);
-  start_again (p, p->to[0], 1000);
+  restart_endpoint (p, p->to[0], 1000);
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 2);
@@ -803,10 +800,10 @@
 }
 
 /*
- * Its endpoint starts again after a call that may run once has left, and the
- * connection breaks.  The life that had it may have run it; that the next one
- * knows nothing of it proves nothing.  The caller hears that it is unknown,
- * and the next life does not pay for the failure.
+ * The endpoint restarts after a call that may run only once was sent, and the
+ * connection breaks.  The old incarnation may have run it, whatever the new
+ * one knows.  The caller is told "unknown", and the failure does not count
+ * against the new incarnation.
  */
 static void
 test_restart_after_send (void)
@@ -816,7 +813,7 @@
 
   play_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  e = start_again (p, p->to[0], 1000);
+  e = restart_endpoint (p, p->to[0], 1000);
   play_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
@@ -825,10 +822,10 @@
   play_free (p);
 }
 
-/* An answer of the life before, whole though it came late, is the caller's;
-   what its head says of load and weights is not the next life's. */
+/* A complete answer of the old incarnation is passed on, but the load and the
+   weights in its head are not applied to the new incarnation. */
 static void
-test_answer_of_life_before (void)
+test_answer_of_old_incarnation (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct relay_head h = { .status = 200, .genuine = true, .running = 40 };
@@ -838,7 +835,7 @@
   h.version = 9;
   play_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  e = start_again (p, p->to[0], 1000);
+  e = restart_endpoint (p, p->to[0], 1000);
   g_assert_true (p->event->head (p->arg, &h));
   play_body (p, "done");
   play_end (p, true, true);
@@ -849,9 +846,9 @@
 }
 
 /*
- * The endpoint has other weights than it is believed to have, and does not say
- * which.  The caller's request goes elsewhere, and the endpoint is to be
- * asked.
+ * The endpoint has other weights than expected, and does not say which.  The
+ * request goes to another endpoint, and this one's version is marked as
+ * doubtful so that it is queried.
  */
 static void
 test_unknown_weights (void)
@@ -872,40 +869,40 @@
 }
 
 const struct unit relay_units[] = {
-  { "/relay/frozen-before-send", test_frozen_before_send },
+  { "/relay/suspended-before-send", test_suspended_before_send },
   { "/relay/revoked-before-send", test_revoked_before_send },
   { "/relay/unknown-key", test_unknown_key },
-  { "/relay/behind-denies-nothing", test_behind_denies_nothing },
-  { "/relay/too-large-at-door", test_too_large_at_door },
+  { "/relay/old-settings-deny-nothing", test_old_settings_deny_nothing },
+  { "/relay/too-large-at-ingress", test_too_large_at_ingress },
   { "/relay/once", test_once },
   { "/relay/restart-before-send", test_restart_before_send },
   { "/relay/restart-after-send", test_restart_after_send },
-  { "/relay/answer-of-life-before", test_answer_of_life_before },
+  { "/relay/answer-of-old-incarnation", test_answer_of_old_incarnation },
   { "/relay/unknown-weights", test_unknown_weights },
   { "/relay/once-unreached", test_once_unreached },
   { "/relay/refused-by-all", test_refused_by_all },
-  { "/relay/other-life", test_other_life },
-  { "/relay/all-gone", test_all_gone },
-  { "/relay/absent-rests", test_absent_rests },
+  { "/relay/other-incarnation", test_other_incarnation },
+  { "/relay/attempts-bounded", test_attempts_bounded },
+  { "/relay/connection-refused-backoff", test_connection_refused_backoff },
   { "/relay/other-version", test_other_version },
-  { "/relay/not-genuine", test_not_genuine },
+  { "/relay/answer-to-other-request", test_answer_to_other_request },
   { "/relay/resume", test_resume },
   { "/relay/no-resume", test_no_resume },
   { "/relay/slow-reader", test_slow_reader },
   { "/relay/scope", test_scope },
   { "/relay/budget", test_budget },
   { "/relay/timeout", test_timeout },
-  { "/relay/gone-before-send", test_gone_before_send },
-  { "/relay/old-weights-wait", test_old_weights_wait },
+  { "/relay/disconnected-before-send", test_disconnected_before_send },
+  { "/relay/old-weights-timeout", test_old_weights_timeout },
   { "/relay/hang-up", test_hang_up },
   { "/relay/too-late", test_too_late },
-  { "/relay/queue-told", test_queue_told },
-  { "/relay/endless-caller", test_endless_caller },
+  { "/relay/queue-reported", test_queue_reported },
+  { "/relay/long-deadline", test_long_deadline },
   { "/relay/nothing-known", test_nothing_known },
   { "/relay/withdrawn-from-old-weights", test_withdrawn_from_old_weights },
   { "/relay/withdrawn-once", test_withdrawn_once },
-  { "/relay/time-on-old-weights", test_time_on_old_weights },
-  { "/relay/begun-on-old-weights", test_begun_on_old_weights },
+  { "/relay/timeout-on-old-weights", test_timeout_on_old_weights },
+  { "/relay/started-on-old-weights", test_started_on_old_weights },
   { "/relay/running-on-old-weights", test_running_on_old_weights },
   { "/relay/connected-too-late", test_connected_too_late },
   { NULL, NULL },
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -1,13 +1,13 @@
-/* Unit tests of requests that crash endpoints, as one VM passes them on. */
+/* Unit tests of the relay on requests that crash endpoints. */
 #include <glib.h>
 #include <string.h>
 
 #include "relayplay.h"
 #include "units.h"
 
-/* Another VM saw N endpoints end under the request, half a second apart. */
+/* Another VM saw N endpoints crash under the request, half a second apart. */
 static void
-accuse (struct play *p, const char *workspace, int n)
+add_crashes (struct play *p, const char *workspace, int n)
 {
   struct quar_fact f = { .done = false };
   int64_t i;
@@ -23,18 +23,18 @@
 }
 
 static void
-condemn (struct play *p, const char *workspace)
+add_refusal_evidence (struct play *p, const char *workspace)
 {
-  accuse (p, workspace, 4);
+  add_crashes (p, workspace, 4);
 }
 
 /*
- * A request under which four endpoints ended comes again under another id.
- * It goes to no endpoint, and its caller is not told "not run", nor to come
- * back: it ran, and would end the next one.
+ * A request under which four endpoints crashed returns with another id.  It is
+ * sent to no endpoint, and its caller is told neither "not run" nor to retry:
+ * it ran before, and would crash the next endpoint.
  */
 static void
-test_held (void)
+test_refused (void)
 {
   static const enum fleet_kind kinds[]
       = { FLEET_IDEMPOTENT, FLEET_ONCE, FLEET_STREAM };
@@ -44,7 +44,7 @@
   for (i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
       p = play_new (kinds[i]);
-      condemn (p, "ws");
+      add_refusal_evidence (p, "ws");
       p->desc.id = "another";
       play_start (p);
       g_assert_cmpint (p->sends, ==, 0);
@@ -54,14 +54,14 @@
     }
 }
 
-/* The same bytes of another workspace are another request: nobody can have
-   other callers refused. */
+/* The same bytes from another workspace are another request, so that no caller
+   can have those of other workspaces refused. */
 static void
-test_held_by_workspace (void)
+test_digest_by_workspace (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  condemn (p, "other");
+  add_refusal_evidence (p, "other");
   play_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   play_answer (p, "a");
@@ -69,15 +69,15 @@
   play_free (p);
 }
 
-/* Other VMs' evidence comes after the request was placed and before its first
-   byte left. */
+/* Evidence of other VMs arrives after an endpoint was chosen and before the
+   first byte left. */
 static void
-test_held_before_send (void)
+test_refused_before_send (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
   play_start (p);
-  condemn (p, "ws");
+  add_refusal_evidence (p, "ws");
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
@@ -86,7 +86,7 @@
 }
 
 static bool
-has_turn (void *arg, const struct reqid *id, int64_t now_us)
+may_run_suspect (void *arg, const struct reqid *id, int64_t now_us)
 {
   struct play *p = arg;
 
@@ -95,8 +95,8 @@
   return p->turn;
 }
 
-/* Guards against a request under which three endpoints ended and that runs at
-   several VMs, or twice at one, before the fourth crash is known. */
+/* Guards against a request under which three endpoints crashed and that runs
+   at several VMs, or twice at one, before the fourth crash is known. */
 static void
 test_suspect_alone (void)
 {
@@ -104,8 +104,8 @@
   const struct relay_events *event;
   void *arg;
 
-  p->relays->opts.may_run_suspect = has_turn;
-  accuse (p, "ws", 3);
+  p->relays->opts.may_run_suspect = may_run_suspect;
+  add_crashes (p, "ws", 3);
   play_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -122,7 +122,7 @@
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   p->refused = -1;
   play_end (p, true, false);
-  /* Nor is it repeated by itself. */
+  /* The relay does not retry it either. */
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   play_run (p, 1000);
@@ -131,16 +131,16 @@
   play_free (p);
 }
 
-/* Guards against a suspect request that was placed before it became suspect.
- */
+/* Guards against sending a request that became suspect after its endpoint was
+   chosen. */
 static void
 test_suspect_before_send (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  p->relays->opts.may_run_suspect = has_turn;
+  p->relays->opts.may_run_suspect = may_run_suspect;
   play_start (p);
-  accuse (p, "ws", 3);
+  add_crashes (p, "ws", 3);
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -148,15 +148,15 @@
   play_free (p);
 }
 
-/* Guards against a request that stays suspect after it was answered whole. */
+/* Guards against a request that stays suspect after a complete answer. */
 static void
 test_suspect_answered (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
-  p->relays->opts.may_run_suspect = has_turn;
+  p->relays->opts.may_run_suspect = may_run_suspect;
   p->turn = true;
-  accuse (p, "ws", 3);
+  add_crashes (p, "ws", 3);
   play_start (p);
   play_answer (p, "a");
   p->turn = false;
@@ -166,7 +166,8 @@
   play_free (p);
 }
 
-/* A VM that starts has not read what the others saw: it says "not run". */
+/* A VM that starts has not read the evidence of the others yet: it answers
+   "not run". */
 static void
 test_evidence_unknown (void)
 {
@@ -181,8 +182,8 @@
   play_free (p);
 }
 
-/* A request's answer breaks off; the endpoint is asked once, and PROBE is what
-   that shows.  Returns whether it became evidence. */
+/* The connection of a request breaks, and the probe of its endpoint gives
+   PROBE.  Returns whether there is evidence on the request. */
 static bool
 break_off (struct play *p, enum relay_probe_result probe)
 {
@@ -200,12 +201,12 @@
 }
 
 /*
- * A connection closes before its answer is whole.  Only if nothing listens at
- * the endpoint any more did it end: links are reset, endpoints break answers
- * off and live, and one that is cut off says nothing.
+ * A connection closes before its answer is complete.  The endpoint crashed
+ * only if nothing listens there any more: links are reset, endpoints break off
+ * answers and continue to run, and an unreachable one shows nothing.
  */
 static void
-test_end_is_asked (void)
+test_broken_endpoint_probed (void)
 {
   static const enum relay_probe_result probes[]
       = { RELAY_PROBE_ALIVE, RELAY_PROBE_SILENT, RELAY_PROBE_CRASHED };
@@ -224,9 +225,9 @@
 }
 
 /*
- * The endpoint is about to end when it is probed: it takes the connection, and
- * closes it with the others.  That shows nothing, so it is probed again, and
- * then nothing listens there any more.
+ * The endpoint's process is ending when it is probed: it accepts the
+ * connection, and closes it with the others.  This shows nothing, so it is
+ * probed again, and then nothing listens there any more.
  */
 static void
 test_probed_again (void)
@@ -241,9 +242,9 @@
   play_free (p);
 }
 
-/* An endpoint that was leaving ends as it said, under whatever it has. */
+/* A draining endpoint ends as announced, whatever requests it still has. */
 static void
-test_release_is_no_end (void)
+test_draining_not_probed (void)
 {
   struct play *p = play_new (FLEET_ONCE);
   struct fleet_endpoint *e;
@@ -257,10 +258,10 @@
   play_free (p);
 }
 
-/* An endpoint that breaks off one answer after the other is asked once a
+/* An endpoint that breaks off one answer after another is probed once a
    second. */
 static void
-test_asked_seldom (void)
+test_probe_interval (void)
 {
   struct play *p = play_new (FLEET_ONCE);
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
@@ -273,9 +274,9 @@
   play_free (p);
 }
 
-/* Where no endpoint ended, no request is digested. */
+/* While no endpoint has crashed, no digest of a request is computed. */
 static void
-test_calm_costs_nothing (void)
+test_no_evidence_no_digest (void)
 {
   struct play *p = play_new (FLEET_ONCE);
 
@@ -290,17 +291,17 @@
 }
 
 const struct unit relayquar_units[] = {
-  { "/relay/held", test_held },
-  { "/relay/held-by-workspace", test_held_by_workspace },
-  { "/relay/held-before-send", test_held_before_send },
+  { "/relay/quarantine-refused", test_refused },
+  { "/relay/digest-by-workspace", test_digest_by_workspace },
+  { "/relay/quarantine-refused-before-send", test_refused_before_send },
   { "/relay/suspect-alone", test_suspect_alone },
   { "/relay/suspect-before-send", test_suspect_before_send },
   { "/relay/suspect-answered", test_suspect_answered },
   { "/relay/evidence-unknown", test_evidence_unknown },
-  { "/relay/end-is-asked", test_end_is_asked },
+  { "/relay/broken-endpoint-probed", test_broken_endpoint_probed },
   { "/relay/probed-again", test_probed_again },
-  { "/relay/release-is-no-end", test_release_is_no_end },
-  { "/relay/asked-seldom", test_asked_seldom },
-  { "/relay/calm-costs-nothing", test_calm_costs_nothing },
+  { "/relay/draining-not-probed", test_draining_not_probed },
+  { "/relay/probe-interval", test_probe_interval },
+  { "/relay/no-evidence-no-digest", test_no_evidence_no_digest },
   { NULL, NULL },
 };
