--- a/regress/test-steps.c
+++ b/regress/test-steps.c
@@ -1,6 +1,7 @@
 /*
- * Unit tests of answers of the platform's store that are read in steps: what
- * is read is the same however the steps fall, and the loop goes on meanwhile.
+ * Unit tests of replies of the platform's store that are parsed in steps: the
+ * result does not depend on the size of the steps, and the event loop serves
+ * sockets between them.
  */
 #include <netinet/in.h>
 #include <string.h>
@@ -14,11 +15,13 @@
 #include "units.h"
 #include "xfer.h"
 
-#define MANY 10000       /* routes */
-#define TURN_PIECES 40   /* of an answer, read in a turn */
-#define CODED_PIECE 1024 /* characters of base64 that count as a piece */
+#define MANY 10000     /* routes */
+#define TURN_PIECES 40 /* of a reply, parsed in one turn of the loop */
+#define CODED_PIECE                                                           \
+  1024 /* base64 characters in a step piece                                   \
+        */
 
-/* --- texts ----------------------------------------------------------- */
+/* --- test data ------------------------------------------------------- */
 
 /* Settings with N routes, two to a host, the longer prefix second. */
 static char *
@@ -38,9 +41,10 @@
   return g_string_free (s, FALSE);
 }
 
-/* An answer with three rows, of which the second one has VALUE as it is. */
+/* A reply with three rows; the second one has VALUE, which is not encoded
+   again. */
 static char *
-answer_with (const char *value)
+reply_with (const char *value)
 {
   /* {"Model":"m","Version":3}, and an endpoint at 10.0.0.1:1. */
   return g_strdup_printf (
@@ -54,7 +58,7 @@
       value);
 }
 
-/* Write TEXT over what stands at AT. */
+/* Overwrite the bytes at AT with TEXT. */
 static void
 put (char *at, const char *text)
 {
@@ -63,13 +67,13 @@
 }
 
 static char *
-answer_text (int routes)
+reply_text (int routes)
 {
   g_autofree char *conf = conf_text (routes);
   g_autofree char *coded
       = g_base64_encode ((const guchar *)conf, strlen (conf));
 
-  return answer_with (coded);
+  return reply_with (coded);
 }
 
 static struct news
@@ -88,10 +92,10 @@
   return &g_array_index (n->items, struct news_item, i);
 }
 
-/* Read TEXT so many pieces a time; how many times that took, -1 if it is bad.
- */
+/* Parse TEXT in steps of PIECES.  Returns the number of steps, -1 if TEXT is
+   invalid. */
 static int
-read_in_steps (const char *text, size_t len, int pieces, struct news *n)
+parse_in_steps (const char *text, size_t len, int pieces, struct news *n)
 {
   struct prows *p = prows_new (text, len, n);
   enum pdecode d;
@@ -141,20 +145,20 @@
   g_assert_cmpstr (item (n, 2)->listing.address, ==, "10.0.0.1:1");
 }
 
-/* --- reading --------------------------------------------------------- */
+/* --- parsing --------------------------------------------------------- */
 
-/* The same is read whatever the steps, and small steps are many. */
+/* The result is the same for each size of step, and small steps are many. */
 static void
 test_same_in_steps (void)
 {
   static const int pieces[] = { 1, 3, TURN_PIECES, G_MAXINT };
-  g_autofree char *text = answer_text (300);
+  g_autofree char *text = reply_text (300);
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (pieces); i++)
     {
       struct news n = news_new ();
-      int steps = read_in_steps (text, strlen (text), pieces[i], &n);
+      int steps = parse_in_steps (text, strlen (text), pieces[i], &n);
 
       g_assert_cmpint (steps, >=, 300 / pieces[i]);
       check_news (&n, 300);
@@ -162,12 +166,12 @@
     }
 }
 
-/* An answer that was cut anywhere is none, and neither is one with more after
-   its end; what was read until then is given back. */
+/* A reply that is truncated at any byte is invalid, and so is one with bytes
+   after its end.  Items that were parsed until then are freed. */
 static void
-test_cut (void)
+test_truncated (void)
 {
-  g_autofree char *text = answer_text (4);
+  g_autofree char *text = reply_text (4);
   g_autofree char *longer = g_strconcat (text, "}", NULL);
   size_t len = strlen (text);
   size_t i;
@@ -176,7 +180,7 @@
     {
       struct news n = news_new ();
 
-      g_assert_cmpint (read_in_steps (text, i, 2, &n), ==, -1);
+      g_assert_cmpint (parse_in_steps (text, i, 2, &n), ==, -1);
       pdecode_clear (&n);
     }
   {
@@ -187,9 +191,9 @@
   }
 }
 
-/* Texts that are no answer. */
+/* Texts that are not valid replies. */
 static void
-test_no_answer (void)
+test_invalid_replies (void)
 {
   static const char *const texts[] = {
     "",
@@ -219,15 +223,16 @@
     }
 }
 
-/* Settings that can't be read whole are not taken in part: routes would go
-   missing without a word.  The rows around them still count. */
+/* Guards against applying part of invalid settings, by which routes would be
+   lost without notice.  The other rows of the reply still apply. */
 static void
-test_broken_settings (void)
+test_invalid_settings (void)
 {
   g_autofree char *conf = conf_text (300);
   g_autofree char *coded
       = g_base64_encode ((const guchar *)conf, strlen (conf));
-  /* It is read on after padding, in a space between members. */
+  /* Padding inside the text, in the space between two members of the JSON
+     object, so that the text before and after it is valid. */
   g_autofree char *spaced
       = g_strdup_printf ("{%*s%s", 2 * CODED_PIECE, "", conf + 1);
   g_autofree char *padded
@@ -242,15 +247,15 @@
       = { padded, trailed, cut, foreign, "", "bnVsbA==" };
   size_t i;
 
-  /* Padding where one piece of base64 ends and the next one begins. */
+  /* Padding at the end of one piece of base64. */
   put (padded + CODED_PIECE - 4, "IA==");
   foreign[CODED_PIECE * 2 + 7] = '!';
   for (i = 0; i < G_N_ELEMENTS (values); i++)
     {
-      g_autofree char *text = answer_with (values[i]);
+      g_autofree char *text = reply_with (values[i]);
       struct news n = news_new ();
 
-      g_assert_cmpint (read_in_steps (text, strlen (text), 5, &n), >, 0);
+      g_assert_cmpint (parse_in_steps (text, strlen (text), 5, &n), >, 0);
       g_assert_cmpuint (n.items->len, ==, 3);
       g_assert_cmpint (item (&n, 0)->kind, ==, NEWS_WANTED);
       g_assert_cmpint (item (&n, 1)->kind, ==, NEWS_SPOILED);
@@ -262,7 +267,7 @@
     }
 }
 
-/* JSON allows a slash to be escaped, and base64 has slashes. */
+/* JSON allows characters to be escaped, such as the slashes of base64. */
 static void
 test_escaped (void)
 {
@@ -271,32 +276,32 @@
   g_autofree char *coded = g_base64_encode ((const guchar *)odd, strlen (odd));
   g_auto (GStrv) parts = g_strsplit (coded, "0", -1);
   g_autofree char *escaped = g_strjoinv ("\\u0030", parts);
-  g_autofree char *text = answer_with (escaped);
+  g_autofree char *text = reply_with (escaped);
   struct news n = news_new ();
 
   g_assert_nonnull (strchr (escaped, '\\'));
-  g_assert_cmpint (read_in_steps (text, strlen (text), 2, &n), >, 0);
+  g_assert_cmpint (parse_in_steps (text, strlen (text), 2, &n), >, 0);
   check_news (&n, 4);
   pdecode_clear (&n);
 }
 
-/* --- the loop meanwhile ---------------------------------------------- */
+/* --- the loop between steps ------------------------------------------ */
 
-/* Sockets are served all the while: each turn of the loop sends itself a byte,
-   which the next one reads. */
+/* Checks that sockets are served: each turn of the loop sends a byte to
+   itself, which the next turn reads. */
 struct served
 {
   struct loop *loop;     /* under test */
-  int fd[2];             /* to ourselves */
-  struct loop_hook hook; /* each turn */
-  GArray *at;            /* when a byte was read, int64_t */
+  int fd[2];             /* socket pair to itself */
+  struct loop_hook hook; /* runs at the end of each turn */
+  GArray *at;            /* times at which a byte was read, int64_t */
   GArray *turns;         /* struct turn */
 };
 
 /* The end of a turn of the loop. */
 struct turn
 {
-  int64_t at_us;  /* present time */
+  int64_t at_us;  /* time */
   int64_t cpu_us; /* processor time of the loop's thread */
 };
 
@@ -374,10 +379,10 @@
   return n;
 }
 
-/* For whoever measures: processor time since the turn before SINCE_US, and the
-   most of one turn.  No bound is set on it: machines differ. */
+/* Report the processor time since the turn before SINCE_US, and the most of
+   one turn.  It is not checked, since machines differ. */
 static void
-tell_cost (const struct served *s, int64_t since_us)
+report_cost (const struct served *s, int64_t since_us)
 {
   const struct turn *t = (const struct turn *)(void *)s->turns->data;
   int64_t longest = 0;
@@ -387,7 +392,7 @@
     first++;
   for (i = first; i < s->turns->len; i++)
     longest = MAX (longest, t[i].cpu_us - t[i - 1].cpu_us);
-  /* The turn that brings the news is not over. */
+  /* The turn that delivers the reply has not ended. */
   longest = MAX (longest, thread_cpu_us () - t[i - 1].cpu_us);
   g_test_message (
       "%u turns, %" G_GINT64_FORMAT " us of a core in all, %" G_GINT64_FORMAT
@@ -396,13 +401,13 @@
       (gint64)longest);
 }
 
-/* Work that counts its steps. */
+/* Loop work that counts its steps. */
 struct counted
 {
-  struct loop_work work; /* embedded */
-  struct served *served; /* whose loop */
-  int left;              /* steps to do */
-  bool stop;             /* the last one stops the loop */
+  struct loop_work work; /* the work */
+  struct served *served; /* loop that runs it */
+  int left;              /* steps left */
+  bool stop;             /* stop the loop at the last step */
 };
 
 static bool
@@ -427,10 +432,11 @@
   loop_add_work (s->loop, &c->work);
 }
 
-/* Two long works: one step a turn in all, and sockets in each turn.  One is
-   not over as the loop stops: it is done then, so that its owner is told. */
+/* With two items of loop work, each turn runs one step in all and serves
+   sockets.  The second item has steps left when the loop stops: these are run
+   then, so that its owner gets the result. */
 static void
-test_step_a_turn (void)
+test_one_step_per_turn (void)
 {
   struct served s = { 0 };
   struct counted first = { .stop = true };
@@ -447,10 +453,10 @@
   serve_end (&s);
 }
 
-/* Nothing but long work wakes the loop: it doesn't wait between the steps, a
-   second each if it did. */
+/* Guards against waits between steps when there is nothing but loop work: each
+   would take a second. */
 static void
-test_steps_alone (void)
+test_no_wait_between_steps (void)
 {
   struct served s = { .loop = loop_new () };
   struct counted c = { .stop = true };
@@ -462,17 +468,17 @@
   loop_free (s.loop);
 }
 
-/* The store's other end: sends an answer, and waits until we leave. */
-struct store_end
+/* A simulated store that sends one reply and waits for the client to close. */
+struct simulated_store
 {
   int fd;           /* listening socket */
-  const char *text; /* sent */
+  const char *text; /* reply body */
 };
 
 static gpointer
-play_store (gpointer arg)
+run_store (gpointer arg)
 {
-  struct store_end *e = arg;
+  struct simulated_store *e = arg;
   int fd = accept (e->fd, NULL, NULL);
   g_autofree char *head = g_strdup_printf (
       "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n", strlen (e->text));
@@ -505,29 +511,29 @@
   return fd;
 }
 
-/* A call to that end. */
+/* A client of the simulated store. */
 struct reading
 {
-  struct served served;   /* the loop */
+  struct served served;   /* the loop and its socket pair */
   struct xfer_pool *pool; /* its transfers */
-  int steps;              /* steps so far, or times that news came */
-  int meanwhile;          /* turns between the last byte and the news */
-  int held;               /* transfers by the pool's count as it came */
+  int steps;              /* steps, or replies delivered */
+  int meanwhile;          /* bytes read between the last byte and the result */
+  int held;               /* transfers in the pool at that time */
 };
 
-/* Let CALL ask the other end, which answers TEXT. */
+/* Run CALL against a simulated store that replies TEXT. */
 static void
-ask_far (struct reading *r, const char *text,
-         void (*call) (struct reading *r, const char *address))
+call_simulated_store (struct reading *r, const char *text,
+                      void (*call) (struct reading *r, const char *address))
 {
   g_autofree char *address = NULL;
-  struct store_end e = { .text = text };
+  struct simulated_store e = { .text = text };
   GThread *t;
 
   e.fd = listen_any (&address);
   serve (&r->served);
   r->pool = xfer_pool_new (r->served.loop);
-  t = g_thread_new ("store", play_store, &e);
+  t = g_thread_new ("store", run_store, &e);
   call (r, address);
   g_assert_cmpint (xfer_count (r->pool), ==, 0);
   xfer_pool_free (r->pool);
@@ -546,7 +552,7 @@
   r->steps++;
   r->held = xfer_count (r->pool);
   r->meanwhile = served_since (&r->served, n->came_us);
-  tell_cost (&r->served, n->came_us);
+  report_cost (&r->served, n->came_us);
   loop_stop (r->served.loop);
 }
 
@@ -568,26 +574,27 @@
 }
 
 /*
- * Settings with 10,000 routes arrive.  Read at once they would hold the loop
- * of a small VM for a second or two: callers that hang up would be seen late,
- * and new ones wait.  While they are read, sockets are served in each turn of
- * the loop; and a VM that stops counts the call as under way.
+ * Settings with 10,000 routes arrive.  Parsed in one step, they would block
+ * the loop of a small VM for a second or two: hang-ups of callers would be
+ * noticed late, and new callers would wait.  Sockets are served in each turn
+ * of the loop while they are parsed, and a VM that stops still counts the
+ * call.
  */
 static void
-test_served_meanwhile (void)
+test_sockets_served_between_steps (void)
 {
-  g_autofree char *text = answer_text (MANY);
+  g_autofree char *text = reply_text (MANY);
   struct reading r = { 0 };
 
-  /* It is the answer's only page. */
+  /* The reply has no further page. */
   put (strstr (text, "\"HasMore\":true"), "\"HasMore\":null");
-  ask_far (&r, text, call_store);
+  call_simulated_store (&r, text, call_store);
   g_assert_cmpint (r.steps, ==, 1);
   g_assert_cmpint (r.meanwhile, >=, MANY / TURN_PIECES);
   g_assert_cmpint (r.held, ==, 1);
 }
 
-#define STEPS 5 /* of a reply that is read as the loop stops */
+#define STEPS 5 /* of a reply that is parsed as the loop stops */
 
 static bool
 stop_at_once (void *arg, int status, const GString *body, int64_t came_us)
@@ -617,30 +624,30 @@
   loop_run (r->served.loop);
 }
 
-/* The loop stops as a reply is being read: it is read to its end, so that
-   whoever asked is told once, and nothing of it is left. */
+/* The loop stops while a reply is being parsed: it is parsed to its end, so
+   that its callback gets one result and nothing leaks. */
 static void
-test_stop_meanwhile (void)
+test_stop_while_parsing (void)
 {
   struct reading r = { 0 };
 
-  ask_far (&r, "reply", call_fetch);
+  call_simulated_store (&r, "reply", call_fetch);
   g_assert_cmpint (r.steps, ==, STEPS);
 }
 
 /* --- timers ---------------------------------------------------------- */
 
-#define TIMERS 400 /* armed, some of them anew */
+#define TIMERS 400 /* some are armed more than once */
 
-/* Timers that tell when they fired. */
+/* Timers whose order of firing is checked. */
 struct fired
 {
-  struct loop *loop;                /* that fires them */
+  struct loop *loop;                /* under test */
   struct loop_timer timers[TIMERS]; /* armed */
-  int order[TIMERS];                /* as each was armed last */
-  int64_t last_due_us;              /* of the one that fired last */
-  int last;                         /* its order */
-  int left;                         /* that have not fired */
+  int order[TIMERS];                /* sequence number of its last arming */
+  int64_t last_due_us;              /* due time of the last one to fire */
+  int last;                         /* its sequence number */
+  int left;                         /* number that have not fired */
 };
 
 static void
@@ -651,7 +658,7 @@
   int i;
 
   (void)now_us;
-  /* The one that is no longer armed, and was not seen yet. */
+  /* Find the timer that has just fired: not armed, and not checked yet. */
   for (i = 0; t == NULL; i++)
     if (!f->timers[i].armed && f->order[i] >= 0)
       t = &f->timers[i];
@@ -665,10 +672,10 @@
     loop_stop (f->loop);
 }
 
-/* Guards against timers that fire out of their order, whichever end of the
-   list they were put in from. */
+/* Guards against timers that fire out of order, from whichever end of the list
+   their place was searched. */
 static void
-test_timers (void)
+test_timer_order (void)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (1);
   struct fired *f = g_new0 (struct fired, 1);
@@ -694,14 +701,14 @@
 
 const struct unit steps_units[] = {
   { "/steps/same-in-steps", test_same_in_steps },
-  { "/steps/cut", test_cut },
-  { "/steps/no-answer", test_no_answer },
-  { "/steps/broken-settings", test_broken_settings },
+  { "/steps/truncated", test_truncated },
+  { "/steps/invalid-replies", test_invalid_replies },
+  { "/steps/invalid-settings", test_invalid_settings },
   { "/steps/escaped", test_escaped },
-  { "/steps/step-a-turn", test_step_a_turn },
-  { "/steps/alone", test_steps_alone },
-  { "/steps/served-meanwhile", test_served_meanwhile },
-  { "/steps/stop-meanwhile", test_stop_meanwhile },
-  { "/loop/timers", test_timers },
+  { "/steps/one-step-per-turn", test_one_step_per_turn },
+  { "/steps/no-wait-between-steps", test_no_wait_between_steps },
+  { "/steps/sockets-served-between-steps", test_sockets_served_between_steps },
+  { "/steps/stop-while-parsing", test_stop_while_parsing },
+  { "/loop/timer-order", test_timer_order },
   { NULL, NULL },
 };
