--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static char *no_headers[] = { NULL };
-char *play_seal[] = { (char *)"Seal: x", NULL };
+char *harness_seal[] = { (char *)"Seal: x", NULL };
 
 /* --- simulated engine ------------------------------------------------ */
 
@@ -13,7 +13,7 @@
 engine_send (void *ctx, const struct relay_attempt *s,
              const struct relay_events *events, void *arg)
 {
-  struct play *p = ctx;
+  struct harness *p = ctx;
 
   g_strlcpy (p->to[p->sends % 4], s->endpoint->is.id, FLEET_NAME_SIZE);
   p->sends++;
@@ -28,7 +28,7 @@
 static void
 engine_cancel (void *ctx, void *call)
 {
-  struct play *p = ctx;
+  struct harness *p = ctx;
 
   (void)call;
   p->cancels++;
@@ -37,7 +37,7 @@
 static void
 engine_unpause (void *ctx, void *call)
 {
-  struct play *p = ctx;
+  struct harness *p = ctx;
 
   (void)call;
   p->unpauses++;
@@ -47,7 +47,7 @@
 engine_probe (void *ctx, const struct fleet_endpoint *e, relay_probe_done done,
               void *arg)
 {
-  struct play *p = ctx;
+  struct harness *p = ctx;
 
   (void)e;
   p->probes++;
@@ -67,7 +67,7 @@
 static void
 on_observed (void *arg, int64_t now_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)now_us;
   p->observed++;
@@ -76,7 +76,7 @@
 static bool
 is_evidence_known (void *arg, int64_t now_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)now_us;
   return p->evidence_known;
@@ -88,7 +88,7 @@
 on_answer (void *arg, int status, const char *const *lines, const char *body,
            size_t len)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)lines;
   p->status = status;
@@ -99,7 +99,7 @@
 static void
 on_begin (void *arg, int status, const char *const *lines)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)lines;
   p->status = status;
@@ -108,7 +108,7 @@
 static void
 on_write (void *arg, const char *data, size_t len)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   g_string_append_len (p->got, data, (gssize)len);
 }
@@ -116,7 +116,7 @@
 static void
 on_end (void *arg, bool whole)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   p->ended = whole;
 }
@@ -124,7 +124,7 @@
 static size_t
 on_pending (void *arg)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   return p->untaken;
 }
@@ -132,7 +132,7 @@
 static bool
 on_gone (void *arg)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   return p->gone;
 }
@@ -140,7 +140,7 @@
 static void
 on_refuse (void *arg, enum relay_refusal why, int64_t retry_after_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   p->refused = (int)why;
   p->retry_after_us = retry_after_us;
@@ -159,7 +159,7 @@
 /* --- setup ----------------------------------------------------------- */
 
 struct fleet_conf *
-play_conf (int64_t version, enum fleet_kind kind, const char *key)
+harness_conf (int64_t version, enum fleet_kind kind, const char *key)
 {
   struct fleet_conf *c = fleet_conf_new ();
   struct fleet_route *r = g_new0 (struct fleet_route, 1);
@@ -188,13 +188,13 @@
 }
 
 struct fleet_route *
-play_route (struct play *p)
+harness_route (struct harness *p)
 {
   return p->fleet.conf->routes->pdata[0];
 }
 
 void
-play_add_endpoint (struct play *p, const char *id)
+harness_add_endpoint (struct harness *p, const char *id)
 {
   struct fleet_listing l = { .version = 3 };
 
@@ -204,21 +204,22 @@
   fleet_take_listing (&p->fleet, &l, 1);
 }
 
-struct play *
-play_new (enum fleet_kind kind)
+struct harness *
+harness_new (enum fleet_kind kind)
 {
-  struct play *p = g_new0 (struct play, 1);
-  struct relays_opts o = { .domain = "d", .key_max_age_us = PLAY_STALE_US };
+  struct harness *p = g_new0 (struct harness, 1);
+  struct relays_opts o
+      = { .domain = "d", .key_max_age_us = HARNESS_KEY_MAX_AGE_US };
 
-  o.denial_max_age_us = PLAY_DENY_US;
+  o.denial_max_age_us = HARNESS_DENIAL_MAX_AGE_US;
 
   p->loop = loop_new ();
   fleet_init (&p->fleet);
-  fleet_take_conf (&p->fleet, play_conf (1, kind, "key"), 1);
+  fleet_take_conf (&p->fleet, harness_conf (1, kind, "key"), 1);
   p->fleet.listed = true;
   p->fleet.fresh_us = loop_now_us ();
-  play_add_endpoint (p, "a");
-  play_add_endpoint (p, "b");
+  harness_add_endpoint (p, "a");
+  harness_add_endpoint (p, "b");
   o.loop = p->loop;
   o.fleet = &p->fleet;
   o.engine.send = engine_send;
@@ -256,13 +257,13 @@
 }
 
 void
-play_start (struct play *p)
+harness_start (struct harness *p)
 {
   p->relay = relay_start (p->relays, &p->desc, loop_now_us ());
 }
 
 void
-play_free (struct play *p)
+harness_free (struct harness *p)
 {
   g_assert_cmpint (relays_count (p->relays), ==, 0);
   relays_free (p->relays);
@@ -276,14 +277,14 @@
 static void
 stop_loop (void *arg, int64_t now_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)now_us;
   loop_stop (p->loop);
 }
 
 void
-play_run (struct play *p, int64_t us)
+harness_run (struct harness *p, int64_t us)
 {
   struct loop_timer t = { .fire = stop_loop };
 
@@ -293,22 +294,22 @@
 }
 
 void
-play_head (struct play *p, int status)
+harness_head (struct harness *p, int status)
 {
   struct relay_head h = { .status = status, .genuine = true, .running = -1 };
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   g_assert_true (p->event->head (p->arg, &h));
 }
 
 void
-play_body (struct play *p, const char *text)
+harness_body (struct harness *p, const char *text)
 {
   p->event->body (p->arg, text, strlen (text));
 }
 
 void
-play_end (struct play *p, bool handed_over, bool whole)
+harness_end (struct harness *p, bool handed_over, bool whole)
 {
   struct relay_end e = { .handed_over = handed_over, .whole = whole };
 
@@ -317,35 +318,35 @@
 }
 
 void
-play_answer (struct play *p, const char *text)
+harness_answer (struct harness *p, const char *text)
 {
   g_assert_true (p->event->before_send (p->arg));
-  play_head (p, 200);
-  play_body (p, text);
-  play_end (p, true, true);
+  harness_head (p, 200);
+  harness_body (p, text);
+  harness_end (p, true, true);
 }
 
 void
-play_answer_head (struct play *p, const struct relay_head *h)
+harness_answer_head (struct harness *p, const struct relay_head *h)
 {
   g_assert_true (p->event->before_send (p->arg));
   g_assert_true (p->event->head (p->arg, h));
-  play_end (p, true, true);
+  harness_end (p, true, true);
 }
 
 struct fleet_endpoint *
-play_endpoint (struct play *p, const char *id)
+harness_endpoint (struct harness *p, const char *id)
 {
   return g_hash_table_lookup (p->fleet.by_id, id);
 }
 
 void
-play_moves_on (struct play *p)
+harness_expect_next_endpoint (struct harness *p)
 {
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpstr (p->to[0], !=, p->to[1]);
-  play_answer (p, "ok");
+  harness_answer (p, "ok");
   g_assert_cmpstr (p->got->str, ==, "ok");
 }
--- a/regress/relayplay.h
+++ b/regress/relayplay.h
@@ -7,13 +7,13 @@
 
 #include "librelay.h"
 
-#define PLAY_STALE_US (4 * CQ_US_PER_S)
-#define PLAY_DENY_US (2 * CQ_US_PER_S)
+#define HARNESS_KEY_MAX_AGE_US (4 * CQ_US_PER_S)
+#define HARNESS_DENIAL_MAX_AGE_US (2 * CQ_US_PER_S)
 
 /* State that a test sets, and results that it checks. */
-struct play
+struct harness
 {
-  struct loop *loop;                /* for timers; runs only in play_run */
+  struct loop *loop;                /* for timers; runs only in harness_run */
   struct fleet fleet;               /* known endpoints and configuration */
   struct relays *relays;            /* under test */
   struct relay *relay;              /* the request last started */
@@ -44,37 +44,37 @@
 };
 
 /* Header lines of a genuine answer, NULL-terminated. */
-extern char *play_seal[];
+extern char *harness_seal[];
 
 /* A configuration with one route of KIND and one key, KEY. */
-struct fleet_conf *play_conf (int64_t version, enum fleet_kind kind,
-                              const char *key);
+struct fleet_conf *harness_conf (int64_t version, enum fleet_kind kind,
+                                 const char *key);
 /* The route of the present configuration. */
-struct fleet_route *play_route (struct play *p);
+struct fleet_route *harness_route (struct harness *p);
 /* List one more endpoint. */
-void play_add_endpoint (struct play *p, const char *id);
+void harness_add_endpoint (struct harness *p, const char *id);
 /* A VM with two endpoints, a and b, and one request that is not started. */
-struct play *play_new (enum fleet_kind kind);
+struct harness *harness_new (enum fleet_kind kind);
 /* Start the request. */
-void play_start (struct play *p);
+void harness_start (struct harness *p);
 /* The endpoint with this id, or NULL. */
-struct fleet_endpoint *play_endpoint (struct play *p, const char *id);
+struct fleet_endpoint *harness_endpoint (struct harness *p, const char *id);
 /* The attempt must be stopped before its first byte, and a second endpoint
    answers instead. */
-void play_moves_on (struct play *p);
+void harness_expect_next_endpoint (struct harness *p);
 /* Free P; all requests must have ended. */
-void play_free (struct play *p);
+void harness_free (struct harness *p);
 /* Run the loop for US. */
-void play_run (struct play *p, int64_t us);
+void harness_run (struct harness *p, int64_t us);
 /* Deliver the head of a genuine answer. */
-void play_head (struct play *p, int status);
+void harness_head (struct harness *p, int status);
 /* Deliver part of its body. */
-void play_body (struct play *p, const char *text);
+void harness_body (struct harness *p, const char *text);
 /* End the attempt. */
-void play_end (struct play *p, bool handed_over, bool whole);
+void harness_end (struct harness *p, bool handed_over, bool whole);
 /* Let the attempt be sent, and deliver a complete answer with this body. */
-void play_answer (struct play *p, const char *text);
+void harness_answer (struct harness *p, const char *text);
 /* The same with this head and no body. */
-void play_answer_head (struct play *p, const struct relay_head *h);
+void harness_answer_head (struct harness *p, const struct relay_head *h);
 
 #endif
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -89,7 +89,7 @@
 }
 
 static void
-declare_cold (struct play *p)
+declare_cold (struct harness *p)
 {
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
 
@@ -103,36 +103,36 @@
 static void
 test_burst (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   int i, cold = 0;
 
   declare_cold (p);
   p->fleet.cold_part = one_a_second;
-  cold_until (&play_endpoint (p, "a")->cold,
+  cold_until (&harness_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
   for (i = 0; i < 20; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       cold += strcmp (p->to[0], "a") == 0;
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
   g_assert_cmpint (cold, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a request that was placed before its endpoint became cold. */
 static void
 test_cold_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   declare_cold (p);
-  play_start (p);
-  cold_until (&play_endpoint (p, p->to[0])->cold,
+  harness_start (p);
+  cold_until (&harness_endpoint (p, p->to[0])->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  play_moves_on (p);
-  play_free (p);
+  harness_expect_next_endpoint (p);
+  harness_free (p);
 }
 
 /* Guards against requests that wait for endpoints that are all cold, where
@@ -140,18 +140,18 @@
 static void
 test_all_cold (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   declare_cold (p);
-  cold_until (&play_endpoint (p, "a")->cold,
+  cold_until (&harness_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  cold_until (&play_endpoint (p, "b")->cold,
+  cold_until (&harness_endpoint (p, "b")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 const struct unit cold_units[] = {
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -9,7 +9,7 @@
 #define SETTLED_US (60 * CQ_US_PER_S)
 
 static struct fleet_endpoint *
-put (struct play *p, const char *id, const char *domain)
+put (struct harness *p, const char *id, const char *domain)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
 
@@ -22,14 +22,14 @@
 static void
 test_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   put (p, "a", "east");
   put (p, "b", "west");
-  play_start (p);
+  harness_start (p);
   evac_begin (&p->fleet, strcmp (p->to[0], "a") == 0 ? "east" : "west", 2);
-  play_moves_on (p);
-  play_free (p);
+  harness_expect_next_endpoint (p);
+  harness_free (p);
 }
 
 /* Guards against a burst at endpoints that became cold before the evacuation
@@ -37,7 +37,7 @@
 static void
 test_ends_cold (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
   int64_t now = loop_now_us ();
   struct fleet_endpoint *a = put (p, "a", "east");
@@ -51,7 +51,7 @@
   g_assert_true (cold_is (&a->cold, now + s->cold_us - 1));
   g_assert_false (cold_is (&a->cold, now + s->cold_us));
   g_assert_false (cold_is (&b->cold, now));
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against an evacuation that stays for good after its end was missed.
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -13,11 +13,11 @@
 }
 
 /* A VM that knows two domains, in two regions, with an endpoint each. */
-static struct play *
+static struct harness *
 two_regions (void)
 {
   static const char *const domains[][2] = { { "a", "east" }, { "b", "west" } };
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct fleet_endpoint *e;
   size_t i;
 
@@ -31,7 +31,7 @@
 }
 
 static struct fleet_workspace *
-workspace (struct play *p)
+workspace (struct harness *p)
 {
   return p->fleet.conf->workspaces->pdata[0];
 }
@@ -41,57 +41,57 @@
 static void
 test_route (void)
 {
-  struct play *p = two_regions ();
+  struct harness *p = two_regions ();
   int i;
 
-  play_route (p)->homes = regions ("r2 r3");
+  harness_route (p)->homes = regions ("r2 r3");
   for (i = 0; i < 8; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       g_assert_cmpstr (p->to[0], ==, "b");
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
-  play_start (p);
-  play_end (p, false, false);
+  harness_start (p);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a list that counts in place of the other: both bind. */
 static void
 test_both (void)
 {
-  struct play *p = two_regions ();
+  struct harness *p = two_regions ();
 
   workspace (p)->homes = regions ("r1");
-  play_start (p);
+  harness_start (p);
   g_assert_cmpstr (p->to[0], ==, "a");
-  play_answer (p, "ok");
-  play_route (p)->homes = regions ("r2");
+  harness_answer (p, "ok");
+  harness_route (p)->homes = regions ("r2");
   p->sends = 0;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a domain of which nobody said the region. */
 static void
 test_unnamed (void)
 {
-  struct play *p = two_regions ();
+  struct harness *p = two_regions ();
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
 
   g_strlcpy (b->is.domain, "new", sizeof b->is.domain);
   workspace (p)->homes = regions ("r2");
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_false (fleet_take_regions (&p->fleet, "east"));
   g_assert_false (fleet_take_regions (&p->fleet, "=r1"));
   g_assert_false (fleet_take_regions (&p->fleet, "east="));
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against kept work that a store in another region gets. */
@@ -99,7 +99,7 @@
 test_stores (void)
 {
   static const struct part prompt[] = { { "draft", 8000 }, { "own", 2000 } };
-  struct play *p = two_regions ();
+  struct harness *p = two_regions ();
   struct fleet_conf *c = fleet_conf_new ();
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
   struct parts_query q = { .scope = "m.v1", .list = prompt, .n = 2 };
@@ -131,7 +131,7 @@
   parts_plan (&parts, &q, 10 * CQ_US_PER_S, &plan);
   g_assert_cmpint (plan.nsave, ==, 1);
   parts_clear (&parts);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against homes that are passed over where settings are read. */
--- a/regress/test-limit.c
+++ b/regress/test-limit.c
@@ -197,42 +197,42 @@
 
 /* An answer in which the endpoint names MILLI, or no limit if that is -1. */
 static void
-answer_naming (struct play *p, int64_t milli)
+answer_naming (struct harness *p, int64_t milli)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.notice.limit_said = milli >= 0;
   h.notice.limit_milli = milli;
-  play_answer_head (p, &h);
+  harness_answer_head (p, &h);
 }
 
 /* Guards against a limit that a VM hears and does not keep to. */
 static void
 test_kept (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   int i, n = 0;
 
   p->fleet.limit_gap = one_in_ten_s;
-  play_start (p);
+  harness_start (p);
   while (strcmp (p->to[0], "a") != 0)
     {
       p->sends = 0;
-      play_answer (p, "ok");
-      play_start (p);
+      harness_answer (p, "ok");
+      harness_start (p);
     }
   answer_naming (p, 100);
   for (i = 0; i < 20; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       n += strcmp (p->to[0], "a") == 0;
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
   g_assert_cmpint (n, ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
-  play_free (p);
+  g_assert_true (harness_endpoint (p, "a")->limit.named);
+  harness_free (p);
 }
 
 /* Guards against a request that was placed before its endpoint named a limit.
@@ -240,29 +240,29 @@
 static void
 test_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   p->fleet.limit_gap = one_in_ten_s;
-  play_start (p);
-  limit_name (&play_endpoint (p, p->to[0])->limit, 100, 0, loop_now_us ());
-  play_moves_on (p);
-  play_free (p);
+  harness_start (p);
+  limit_name (&harness_endpoint (p, p->to[0])->limit, 100, 0, loop_now_us ());
+  harness_expect_next_endpoint (p);
+  harness_free (p);
 }
 
 /* Guards against requests that wait though all endpoints have had theirs. */
 static void
 test_all_limited (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   p->fleet.limit_gap = one_in_ten_s;
-  limit_name (&play_endpoint (p, "a")->limit, 100, 0, loop_now_us ());
-  limit_name (&play_endpoint (p, "b")->limit, 100, 0, loop_now_us ());
-  play_start (p);
+  limit_name (&harness_endpoint (p, "a")->limit, 100, 0, loop_now_us ());
+  limit_name (&harness_endpoint (p, "b")->limit, 100, 0, loop_now_us ());
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 const struct unit limit_units[] = {
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -7,40 +7,40 @@
 
 /* Start a request that is placed at A. */
 static void
-start_at_a (struct play *p)
+start_at_a (struct harness *p)
 {
   for (;;)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       if (strcmp (p->to[0], "a") == 0)
         return;
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
 }
 
 static void
-say (struct play *p, const struct notice *n)
+say (struct harness *p, const struct notice *n)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.notice = *n;
-  play_answer_head (p, &h);
+  harness_answer_head (p, &h);
 }
 
 /* Requests of twenty that go to A. */
 static int
-count_at_a (struct play *p)
+count_at_a (struct harness *p)
 {
   int i, n = 0;
 
   for (i = 0; i < 20; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       n += strcmp (p->to[0], "a") == 0;
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
   return n;
 }
@@ -50,20 +50,20 @@
 test_leaving (void)
 {
   static const struct notice leaving = { .leaving = true };
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct fleet_listing ready;
 
   start_at_a (p);
   say (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  ready = play_endpoint (p, "a")->is;
+  ready = harness_endpoint (p, "a")->is;
   fleet_take_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   /* The next life has said nothing. */
   ready.born_ms = 1700000000000;
   fleet_take_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against beliefs that go with an endpoint's entry: it lapsed, or the
@@ -72,21 +72,21 @@
 test_entry_returns (void)
 {
   static const struct notice leaving = { .leaving = true };
-  struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = play_endpoint (p, "a")->is;
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
+  struct fleet_listing ready = harness_endpoint (p, "a")->is;
 
   start_at_a (p);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
-  g_assert_null (play_endpoint (p, "a"));
+  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
+  g_assert_null (harness_endpoint (p, "a"));
   fleet_take_listing (&p->fleet, &ready, loop_now_us ());
   /* Its answer comes when the entry is back. */
   say (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
+  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   fleet_take_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against memory that grows with all endpoints that ever left. */
@@ -116,23 +116,24 @@
 {
   static const struct notice leaving = { .leaving = true };
   static const struct notice_from from = { .source = "answer", .whole = true };
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
-  notice_take (play_endpoint (p, p->to[0]), &leaving, &from, loop_now_us ());
-  play_moves_on (p);
-  play_free (p);
+  harness_start (p);
+  notice_take (harness_endpoint (p, p->to[0]), &leaving, &from,
+               loop_now_us ());
+  harness_expect_next_endpoint (p);
+  harness_free (p);
 }
 
 /* A refusal that asks for REST_US comes. */
 static void
-refuse (struct play *p, int64_t rest_us)
+refuse (struct harness *p, int64_t rest_us)
 {
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.notice.rest_us = rest_us;
-  play_answer_head (p, &h);
+  harness_answer_head (p, &h);
 }
 
 /* Guards against requests to an endpoint that asked for rest, also once its
@@ -140,20 +141,20 @@
 static void
 test_rest (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = play_endpoint (p, "a")->is;
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
+  struct fleet_listing ready = harness_endpoint (p, "a")->is;
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
-  play_answer (p, "ok");
+  harness_answer (p, "ok");
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
+  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
   fleet_take_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  play_endpoint (p, "a")->asked_rest_us = loop_now_us ();
-  play_endpoint (p, "a")->full_until_us = 0;
+  harness_endpoint (p, "a")->asked_rest_us = loop_now_us ();
+  harness_endpoint (p, "a")->full_until_us = 0;
   g_assert_cmpint (count_at_a (p), >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against notices that are put down to the start before: the endpoint
@@ -161,25 +162,25 @@
 static void
 test_start_heard_late (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing l = play_endpoint (p, "a")->is;
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
+  struct fleet_listing l = harness_endpoint (p, "a")->is;
   static const struct notice limit
       = { .limit_said = true, .limit_milli = 1000 };
   static const struct notice_from from = { .source = "answer", .whole = true };
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
-  play_answer (p, "ok");
-  notice_take (play_endpoint (p, "a"), &limit, &from, loop_now_us ());
+  harness_answer (p, "ok");
+  notice_take (harness_endpoint (p, "a"), &limit, &from, loop_now_us ());
   l.born_ms = 1700000000000;
   fleet_take_listing (&p->fleet, &l, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
-  fleet_take_birth (&p->fleet, play_endpoint (p, "a"), l.born_ms + 1,
+  g_assert_true (harness_endpoint (p, "a")->limit.named);
+  fleet_take_birth (&p->fleet, harness_endpoint (p, "a"), l.born_ms + 1,
                     loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
-  play_free (p);
+  g_assert_true (harness_endpoint (p, "a")->limit.named);
+  harness_free (p);
 }
 
 /* Guards against a shorter rest that is heard later and ends a longer one. */
@@ -188,15 +189,15 @@
 {
   static const struct notice_from from = { .source = "answer" };
   struct notice n = { .rest_us = 5 * CQ_US_PER_S };
-  struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_endpoint *e = play_endpoint (p, "a");
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
+  struct fleet_endpoint *e = harness_endpoint (p, "a");
 
   notice_take (e, &n, &from, CQ_US_PER_S);
   n.rest_us = CQ_US_PER_S;
   notice_take (e, &n, &from, 2 * CQ_US_PER_S);
   g_assert_true (pick_rests (e, 6 * CQ_US_PER_S - 1));
   g_assert_false (pick_rests (e, 6 * CQ_US_PER_S));
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a request that was placed before its endpoint asked for rest,
@@ -204,36 +205,36 @@
 static void
 test_all_rest (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
-  play_endpoint (p, "a")->asked_rest_us = loop_now_us () + 3 * CQ_US_PER_S;
-  play_endpoint (p, "b")->asked_rest_us = loop_now_us () + 8 * CQ_US_PER_S;
+  harness_start (p);
+  harness_endpoint (p, "a")->asked_rest_us = loop_now_us () + 3 * CQ_US_PER_S;
+  harness_endpoint (p, "b")->asked_rest_us = loop_now_us () + 8 * CQ_US_PER_S;
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 2500 * CQ_US_PER_MS);
   g_assert_cmpint (p->retry_after_us, <, 4 * CQ_US_PER_S);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against the answer of whoever has the address of an endpoint now. */
 static void
 test_other_life (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.other_incarnation = true;
   h.notice.limit_said = true;
   h.notice.limit_milli = 1000;
-  h.lines = play_seal;
-  play_start (p);
-  play_answer_head (p, &h);
-  g_assert_false (play_endpoint (p, p->to[0])->limit.named);
-  play_answer (p, "ok");
-  play_free (p);
+  h.lines = harness_seal;
+  harness_start (p);
+  harness_answer_head (p, &h);
+  g_assert_false (harness_endpoint (p, p->to[0])->limit.named);
+  harness_answer (p, "ok");
+  harness_free (p);
 }
 
 const struct unit notice_units[] = {
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -18,31 +18,31 @@
 static void
 test_suspended_before_send (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
-  p->fleet.fresh_us -= PLAY_STALE_US + 1;
+  p->fleet.fresh_us -= HARNESS_KEY_MAX_AGE_US + 1;
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
   g_assert_cmpint (p->sends, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The same, and the settings without the key arrive before the first byte. */
 static void
 test_revoked_before_send (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
-  play_start (p);
-  fleet_take_conf (&p->fleet, play_conf (2, FLEET_IDEMPOTENT, "other"), 2);
+  harness_start (p);
+  fleet_take_conf (&p->fleet, harness_conf (2, FLEET_IDEMPOTENT, "other"), 2);
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  play_free (p);
+  harness_free (p);
 }
 
 /* A key that this VM does not know may have been added while it was cut off:
@@ -50,16 +50,16 @@
 static void
 test_unknown_key (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
   p->desc.key = "new";
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_BAD_KEY);
-  p->fleet.fresh_us -= PLAY_STALE_US + 1;
-  play_start (p);
+  p->fleet.fresh_us -= HARNESS_KEY_MAX_AGE_US + 1;
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->sends, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -69,16 +69,16 @@
  * microsecond newer it denies: a change that they lack does not apply yet.
  */
 static void
-check_denial (struct play *p, int why)
+check_denial (struct harness *p, int why)
 {
   int64_t now = loop_now_us ();
   int sends = p->sends;
 
-  p->fleet.fresh_us = now - PLAY_DENY_US + 1;
+  p->fleet.fresh_us = now - HARNESS_DENIAL_MAX_AGE_US + 1;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, why);
   g_assert_cmpint (p->retry_after_us, ==, 0);
-  p->fleet.fresh_us = now - PLAY_DENY_US;
+  p->fleet.fresh_us = now - HARNESS_DENIAL_MAX_AGE_US;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
@@ -88,7 +88,7 @@
 static void
 test_old_settings_deny_nothing (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
   p->desc.host = "new";
   check_denial (p, RELAY_NO_ROUTE);
@@ -100,11 +100,11 @@
   check_denial (p, RELAY_TOO_LARGE);
   p->desc.body_len = 0;
   p->refused = -1;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, -1);
-  play_answer (p, "served");
+  harness_answer (p, "served");
   g_assert_cmpint (p->status, ==, 200);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The same for a body that the ingress stopped reading, and for a VM that has
@@ -112,7 +112,7 @@
 static void
 test_too_large_at_ingress (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   int64_t now = loop_now_us ();
 
   relay_refuse_too_large (p->relays, &p->desc, now);
@@ -120,7 +120,7 @@
   p->fleet.fresh_us = 0;
   relay_refuse_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  play_free (p);
+  harness_free (p);
 }
 
 /* --- at most once ---------------------------------------------------- */
@@ -133,50 +133,50 @@
 static void
 test_once (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The connection failed, so nothing ran: another endpoint gets the call. */
 static void
 test_once_unreached (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
-  play_end (p, false, false);
+  harness_start (p);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpstr (p->to[0], !=, p->to[1]);
-  play_answer (p, "ok");
+  harness_answer (p, "ok");
   g_assert_cmpstr (p->got->str, ==, "ok");
-  play_free (p);
+  harness_free (p);
 }
 
 /* Both endpoints answer that they did not run it: the caller is told so. */
 static void
 test_refused_by_all (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
   int i;
 
-  h.lines = play_seal;
-  play_start (p);
+  h.lines = harness_seal;
+  harness_start (p);
   for (i = 0; i < 2; i++)
     {
       g_assert_true (p->event->before_send (p->arg));
       g_assert_true (p->event->head (p->arg, &h));
-      play_end (p, true, true);
+      harness_end (p, true, true);
     }
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -187,42 +187,42 @@
 static void
 test_other_incarnation (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.other_incarnation = true;
-  play_route (p)->max_attempts = 1;
-  play_start (p);
-  play_answer_head (p, &h);
+  harness_route (p)->max_attempts = 1;
+  harness_start (p);
+  harness_answer_head (p, &h);
   g_assert_cmpint (p->sends, ==, 2);
-  play_answer (p, "ok");
+  harness_answer (p, "ok");
   g_assert_cmpstr (p->got->str, ==, "ok");
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against more attempts than a request can record. */
 static void
 test_attempts_bounded (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   char id[] = "c";
   int i;
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.other_incarnation = true;
   for (i = 0; i < PICK_EXCLUDE_MAX; i++, id[0]++)
-    play_add_endpoint (p, id);
-  play_start (p);
+    harness_add_endpoint (p, id);
+  harness_start (p);
   for (i = 0; i < PICK_EXCLUDE_MAX / 2; i++)
-    play_end (p, false, false);
+    harness_end (p, false, false);
   for (; i <= PICK_EXCLUDE_MAX && p->refused < 0; i++)
-    play_answer_head (p, &h);
+    harness_answer_head (p, &h);
   g_assert_cmpint (p->sends, ==, PICK_EXCLUDE_MAX);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against requests that are sent to an endpoint right after it refused
@@ -230,23 +230,23 @@
 static void
 test_connection_refused_backoff (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct relay_end refused = { .connection_refused = true, .error = "" };
   char gone[FLEET_NAME_SIZE];
   int i;
 
-  play_start (p);
+  harness_start (p);
   g_strlcpy (gone, p->to[0], sizeof gone);
   p->event->end (p->arg, &refused);
-  play_answer (p, "ok");
+  harness_answer (p, "ok");
   for (i = 0; i < 16; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       g_assert_cmpstr (p->to[0], !=, gone);
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -257,18 +257,18 @@
 static void
 test_other_version (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
-  h.lines = play_seal;
-  play_route (p)->max_attempts = 1;
-  play_start (p);
-  play_answer_head (p, &h);
+  h.lines = harness_seal;
+  harness_route (p)->max_attempts = 1;
+  harness_start (p);
+  harness_answer_head (p, &h);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   APR_RING_FOREACH (e, &p->fleet.endpoints, fleet_endpoint, link)
   g_assert_false (e->draining);
-  play_free (p);
+  harness_free (p);
 }
 
 /* --- answers --------------------------------------------------------- */
@@ -280,19 +280,19 @@
 static void
 test_answer_to_other_request (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct relay_head h = { .status = 200, .running = -1 };
 
-  h.lines = play_seal;
-  play_start (p);
+  h.lines = harness_seal;
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   g_assert_false (p->event->head (p->arg, &h));
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpint (p->status, ==, 0);
-  play_answer (p, "mine");
+  harness_answer (p, "mine");
   g_assert_cmpstr (p->got->str, ==, "mine");
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -303,38 +303,38 @@
 static void
 test_resume (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_head (p, 200);
-  play_body (p, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-  play_end (p, true, false);
+  harness_head (p, 200);
+  harness_body (p, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+  harness_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpint (p->resume_after, ==, 2);
   g_assert_cmpstr (p->to[0], !=, p->to[1]);
-  play_answer (p, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+  harness_answer (p, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   g_assert_cmpstr (p->got->str, ==,
                    "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   g_assert_cmpint (p->ended, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* A stream that cannot be resumed breaks: it must not look complete. */
 static void
 test_no_resume (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
-  play_route (p)->resumable = false;
-  play_start (p);
+  harness_route (p)->resumable = false;
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_head (p, 200);
-  play_body (p, "id: 1\ndata: a\n\n");
-  play_end (p, true, false);
+  harness_head (p, 200);
+  harness_body (p, "id: 1\ndata: a\n\n");
+  harness_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->ended, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -345,28 +345,28 @@
 static void
 test_slow_reader (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
   static const char more[] = "id: 2\ndata: b\n\n";
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_head (p, 200);
-  play_body (p, "id: 1\ndata: a\n\n");
+  harness_head (p, 200);
+  harness_body (p, "id: 1\ndata: a\n\n");
   p->untaken = 4097;
   g_assert_cmpint (p->event->body (p->arg, more, strlen (more)), ==,
                    RELAY_PAUSE);
   p->untaken = 3000;
   relay_drained (p->relay);
-  play_run (p, 20 * CQ_US_PER_MS);
+  harness_run (p, 20 * CQ_US_PER_MS);
   g_assert_cmpint (p->unpauses, ==, 0);
   p->untaken = 2000;
   relay_drained (p->relay);
-  play_run (p, 20 * CQ_US_PER_MS);
+  harness_run (p, 20 * CQ_US_PER_MS);
   g_assert_cmpint (p->unpauses, ==, 1);
-  play_body (p, more);
-  play_end (p, true, true);
+  harness_body (p, more);
+  harness_end (p, true, true);
   g_assert_cmpstr (p->got->str, ==, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  play_free (p);
+  harness_free (p);
 }
 
 /* The cache scope names the weights and, for an isolated workspace, the
@@ -374,13 +374,13 @@
 static void
 test_scope (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
-  play_start (p);
+  harness_start (p);
   g_assert_cmpstr (p->scope, ==, "m.v3.ws");
   relay_caller_disconnected (p->relay);
   g_assert_cmpint (p->cancels, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* --- repeats and time ------------------------------------------------ */
@@ -390,16 +390,16 @@
 static void
 test_budget (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   int i;
 
   for (i = 0; i < 20; i++)
     {
-      play_start (p);
+      harness_start (p);
       while (p->refused < 0)
         {
           g_assert_true (p->event->before_send (p->arg));
-          play_end (p, true, false);
+          harness_end (p, true, false);
         }
       p->refused = -1;
       pick_worked (APR_RING_FIRST (&p->fleet.endpoints));
@@ -408,7 +408,7 @@
   /* Twenty requests, a burst of four retries, and a tenth of the requests. */
   g_assert_cmpint (p->sends, >=, 24);
   g_assert_cmpint (p->sends, <=, 26);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The endpoint never answers: at the route's timeout the caller is told so,
@@ -416,16 +416,16 @@
 static void
 test_timeout (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
-  play_route (p)->timeout_us = 50 * CQ_US_PER_MS;
-  play_start (p);
+  harness_route (p)->timeout_us = 50 * CQ_US_PER_MS;
+  harness_start (p);
   g_assert_cmpint (p->left_us, <=, 50 * CQ_US_PER_MS);
   g_assert_true (p->event->before_send (p->arg));
-  play_run (p, 400 * CQ_US_PER_MS);
+  harness_run (p, 400 * CQ_US_PER_MS);
   g_assert_cmpint (p->refused, ==, RELAY_TIMED_OUT);
   g_assert_cmpint (p->cancels, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -436,16 +436,16 @@
 static void
 test_disconnected_before_send (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
-  play_start (p);
+  harness_start (p);
   p->gone = true;
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, -1);
   g_assert_cmpint (p->ended, ==, -1);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -457,19 +457,19 @@
 static void
 test_old_weights_timeout (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
   int64_t now = loop_now_us ();
 
   p->fleet.old_max_us = 9 * CQ_US_PER_S;
   p->fleet.old_end_us = 12 * CQ_US_PER_S;
   fleet_take_wanted (&p->fleet, "m", 4, now - 8 * CQ_US_PER_S,
                      now - 8 * CQ_US_PER_S);
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->left_us, >, 0);
   g_assert_cmpint (p->left_us, <=, 4 * CQ_US_PER_S);
   relay_caller_disconnected (p->relay);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The caller hangs up while the endpoint works: the attempt is cancelled at
@@ -477,21 +477,21 @@
 static void
 test_hang_up (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   p->gone = true;
-  play_run (p, 500 * CQ_US_PER_MS);
+  harness_run (p, 500 * CQ_US_PER_MS);
   g_assert_cmpint (p->cancels, ==, 1);
   g_assert_cmpint (p->refused, ==, -1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Number of a thousand requests that are sent if each endpoint's wait was
    WAIT_US, measured SILENT_US ago; the others must be refused as not run. */
 static int
-count_sent (struct play *p, int64_t wait_us, int64_t silent_us)
+count_sent (struct harness *p, int64_t wait_us, int64_t silent_us)
 {
   struct fleet_endpoint *e;
   int64_t now = loop_now_us ();
@@ -508,7 +508,7 @@
       p->sends = 0;
       p->refused = -1;
       p->retry_after_us = 0;
-      play_start (p);
+      harness_start (p);
       if (p->sends > 0)
         {
           sent++;
@@ -531,7 +531,7 @@
 static void
 test_too_late (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
   int sent = count_sent (p, 1500 * CQ_US_PER_MS, 0);
 
   g_assert_cmpint (sent, >=, 120);
@@ -542,28 +542,28 @@
   g_assert_cmpint (count_sent (p, 1500 * CQ_US_PER_MS, 10 * CQ_US_PER_S), ==,
                    1000);
   g_assert_cmpint (count_sent (p, 200 * CQ_US_PER_MS, 0), ==, 1000);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Run a request at an endpoint that reports two running and eight waiting
    requests; false if it was refused at once. */
 static bool
-run_at_queueing_endpoint (struct play *p)
+run_at_queueing_endpoint (struct harness *p)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = 2 };
 
   h.waiting = 8;
-  h.lines = play_seal;
+  h.lines = harness_seal;
   p->sends = 0;
   p->refused = -1;
   p->desc.deadline_us = loop_now_us () + 6 * CQ_US_PER_S;
-  play_start (p);
+  harness_start (p);
   if (p->sends == 0)
     return false;
   g_assert_true (p->event->before_send (p->arg));
   g_assert_true (p->event->head (p->arg, &h));
-  play_body (p, "id: 0\ndata: x\n\n");
-  play_end (p, true, true);
+  harness_body (p, "id: 0\ndata: x\n\n");
+  harness_end (p, true, true);
   return true;
 }
 
@@ -576,12 +576,12 @@
 static void
 test_queue_reported (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
   int i, sent = 0;
 
   for (i = 0; i < 200; i++)
     {
-      play_run (p, 10 * CQ_US_PER_MS);
+      harness_run (p, 10 * CQ_US_PER_MS);
       sent += run_at_queueing_endpoint (p);
     }
   g_assert_cmpint (sent, <=, 150);
@@ -591,7 +591,7 @@
   g_assert_cmpint (p->retry_after_us, <=, 2 * CQ_US_PER_S);
   g_assert_cmpint (p->retry_after_us, >=, 1500 * CQ_US_PER_MS);
   g_assert_cmpint (sent, >=, 10);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -602,17 +602,17 @@
 static void
 test_long_deadline (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
   int64_t hour = INT64_C (3600) * CQ_US_PER_S;
 
   p->desc.deadline_us = loop_now_us () + hour;
-  play_start (p);
+  harness_start (p);
   relay_caller_disconnected (p->relay);
-  p->desc.deadline_us = loop_now_us () + play_route (p)->timeout_us;
-  play_start (p);
+  p->desc.deadline_us = loop_now_us () + harness_route (p)->timeout_us;
+  harness_start (p);
   g_assert_cmpint (p->relay->rank, <, ADMIT_RANKS / 2);
   relay_caller_disconnected (p->relay);
-  play_free (p);
+  harness_free (p);
 }
 
 /* No endpoints are known yet, as after a start without the platform: the
@@ -620,12 +620,12 @@
 static void
 test_nothing_known (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
   p->fleet.listed = false;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  play_free (p);
+  harness_free (p);
 }
 
 /* --- old weights ----------------------------------------------------- */
@@ -633,19 +633,19 @@
 /* The weights of A become outdated now, and B has newer ones.  Old weights
    accept work for 100 ms more, and nothing may start on them after 300 ms. */
 static void
-outdate (struct play *p)
+outdate (struct harness *p)
 {
   struct fleet_endpoint *a = g_hash_table_lookup (p->fleet.by_id, "a");
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int64_t now = loop_now_us ();
 
   /* Callers wait long enough for a second attempt. */
-  play_route (p)->target_us = 10 * CQ_US_PER_S;
+  harness_route (p)->target_us = 10 * CQ_US_PER_S;
   p->fleet.old_max_us = 100000;
   p->fleet.old_end_us = 300000;
   b->draining = true;
   fleet_take_wanted (&p->fleet, "m", 4, now, now);
-  play_start (p);
+  harness_start (p);
   g_assert_cmpstr (p->to[0], ==, a->is.id);
   b->draining = false;
   fleet_take_version (b, 4, FLEET_NEVER, loop_now_us ());
@@ -659,19 +659,19 @@
 static void
 test_withdrawn_from_old_weights (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_run (p, 150000);
+  harness_run (p, 150000);
   g_assert_cmpint (p->cancels, ==, 0);
-  play_run (p, 250000);
+  harness_run (p, 250000);
   g_assert_cmpint (p->cancels, ==, 1);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpstr (p->to[1], ==, "b");
-  play_answer (p, "id: 0\ndata: x\n\n");
+  harness_answer (p, "id: 0\ndata: x\n\n");
   g_assert_cmpint (p->ended, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The same with a stream that must not run twice: it may have started, so the
@@ -679,16 +679,16 @@
 static void
 test_withdrawn_once (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
-  play_route (p)->resumable = false;
+  harness_route (p)->resumable = false;
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_run (p, 400000);
+  harness_run (p, 400000);
   g_assert_cmpint (p->cancels, ==, 1);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -699,34 +699,34 @@
 static void
 test_timeout_on_old_weights (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
   outdate (p);
   g_assert_cmpint (p->left_us, <=, 300000);
   g_assert_cmpint (p->left_us, >, 200000);
   g_assert_true (p->event->before_send (p->arg));
-  play_run (p, 400000);
+  harness_run (p, 400000);
   g_assert_cmpstr (p->to[1], ==, "b");
   g_assert_cmpint (p->left_us, >, 15 * CQ_US_PER_S);
-  play_answer (p, "id: 0\ndata: x\n\n");
-  play_free (p);
+  harness_answer (p, "id: 0\ndata: x\n\n");
+  harness_free (p);
 }
 
 /* A stream that has started is completed, whatever its weights. */
 static void
 test_started_on_old_weights (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_head (p, 200);
-  play_body (p, "id: 0\ndata: x\n\n");
-  play_run (p, 400000);
+  harness_head (p, 200);
+  harness_body (p, "id: 0\ndata: x\n\n");
+  harness_run (p, 400000);
   g_assert_cmpint (p->cancels, ==, 0);
-  play_end (p, true, true);
+  harness_end (p, true, true);
   g_assert_cmpint (p->ended, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -738,17 +738,17 @@
 static void
 test_running_on_old_weights (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_run (p, 400000);
+  harness_run (p, 400000);
   g_assert_cmpint (p->cancels, ==, 0);
-  play_head (p, 200);
-  play_body (p, "done");
-  play_end (p, true, true);
+  harness_head (p, 200);
+  harness_body (p, "done");
+  harness_end (p, true, true);
   g_assert_cmpint (p->status, ==, 200);
-  play_free (p);
+  harness_free (p);
 }
 
 /* The connection is established only after old weights stopped accepting work:
@@ -756,22 +756,22 @@
 static void
 test_connected_too_late (void)
 {
-  struct play *p = play_new (FLEET_STREAM);
+  struct harness *p = harness_new (FLEET_STREAM);
 
   outdate (p);
-  play_run (p, 150000);
+  harness_run (p, 150000);
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 2);
   g_assert_cmpstr (p->to[1], ==, "b");
-  play_answer (p, "id: 0\ndata: x\n\n");
-  play_free (p);
+  harness_answer (p, "id: 0\ndata: x\n\n");
+  harness_free (p);
 }
 
 /* --- endpoints that restart ------------------------------------------ */
 
 static struct fleet_endpoint *
-restart_endpoint (struct play *p, const char *id, int64_t born_ms)
+restart_endpoint (struct harness *p, const char *id, int64_t born_ms)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
   struct fleet_listing l = e->is;
@@ -787,16 +787,16 @@
 static void
 test_restart_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
+  harness_start (p);
   restart_endpoint (p, p->to[0], 1000);
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 2);
-  play_answer (p, "done");
+  harness_answer (p, "done");
   g_assert_cmpint (p->status, ==, 200);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -808,18 +808,18 @@
 static void
 test_restart_after_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct fleet_endpoint *e;
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   e = restart_endpoint (p, p->to[0], 1000);
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   g_assert_cmpint (e->running, ==, 0);
   g_assert_cmpint (e->failures, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* A complete answer of the old incarnation is passed on, but the load and the
@@ -827,22 +827,22 @@
 static void
 test_answer_of_old_incarnation (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct relay_head h = { .status = 200, .genuine = true, .running = 40 };
   struct fleet_endpoint *e;
 
-  h.lines = play_seal;
+  h.lines = harness_seal;
   h.version = 9;
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   e = restart_endpoint (p, p->to[0], 1000);
   g_assert_true (p->event->head (p->arg, &h));
-  play_body (p, "done");
-  play_end (p, true, true);
+  harness_body (p, "done");
+  harness_end (p, true, true);
   g_assert_cmpint (p->status, ==, 200);
   g_assert_cmpint (e->version, ==, 3);
   g_assert_cmpint (pick_load (e, loop_now_us ()), ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /*
@@ -853,19 +853,19 @@
 static void
 test_unknown_weights (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
   h.other_weights = true;
-  h.lines = play_seal;
-  play_start (p);
+  h.lines = harness_seal;
+  harness_start (p);
   e = g_hash_table_lookup (p->fleet.by_id, p->to[0]);
-  play_answer_head (p, &h);
+  harness_answer_head (p, &h);
   g_assert_true (e->version_doubted);
   g_assert_cmpint (p->sends, ==, 2);
-  play_answer (p, "done");
-  play_free (p);
+  harness_answer (p, "done");
+  harness_free (p);
 }
 
 const struct unit relay_units[] = {
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -7,7 +7,7 @@
 
 /* Another VM saw N endpoints crash under the request, half a second apart. */
 static void
-add_crashes (struct play *p, const char *workspace, int n)
+add_crashes (struct harness *p, const char *workspace, int n)
 {
   struct quar_fact f = { .done = false };
   int64_t i;
@@ -23,7 +23,7 @@
 }
 
 static void
-add_refusal_evidence (struct play *p, const char *workspace)
+add_refusal_evidence (struct harness *p, const char *workspace)
 {
   add_crashes (p, workspace, 4);
 }
@@ -38,19 +38,19 @@
 {
   static const enum fleet_kind kinds[]
       = { FLEET_IDEMPOTENT, FLEET_ONCE, FLEET_STREAM };
-  struct play *p;
+  struct harness *p;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
-      p = play_new (kinds[i]);
+      p = harness_new (kinds[i]);
       add_refusal_evidence (p, "ws");
       p->desc.id = "another";
-      play_start (p);
+      harness_start (p);
       g_assert_cmpint (p->sends, ==, 0);
       g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
       g_assert_cmpint (p->retry_after_us, ==, 0);
-      play_free (p);
+      harness_free (p);
     }
 }
 
@@ -59,14 +59,14 @@
 static void
 test_digest_by_workspace (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   add_refusal_evidence (p, "other");
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
-  play_answer (p, "a");
+  harness_answer (p, "a");
   g_assert_cmpint (p->status, ==, 200);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Evidence of other VMs arrives after an endpoint was chosen and before the
@@ -74,21 +74,21 @@
 static void
 test_refused_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
+  harness_start (p);
   add_refusal_evidence (p, "ws");
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   g_assert_cmpint (p->sends, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 static bool
 may_run_suspect (void *arg, const struct reqid *id, int64_t now_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)id;
   (void)now_us;
@@ -100,35 +100,35 @@
 static void
 test_suspect_alone (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   const struct relay_events *event;
   void *arg;
 
   p->relays->opts.may_run_suspect = may_run_suspect;
   add_crashes (p, "ws", 3);
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
   p->turn = true;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   event = p->event;
   arg = p->arg;
   g_assert_true (event->before_send (arg));
   p->refused = -1;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   p->refused = -1;
-  play_end (p, true, false);
+  harness_end (p, true, false);
   /* The relay does not retry it either. */
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
-  play_run (p, 1000);
+  harness_run (p, 1000);
   p->probe (p->probe_arg, RELAY_PROBE_ALIVE, NULL);
-  play_run (p, 1200000);
-  play_free (p);
+  harness_run (p, 1200000);
+  harness_free (p);
 }
 
 /* Guards against sending a request that became suspect after its endpoint was
@@ -136,34 +136,34 @@
 static void
 test_suspect_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   p->relays->opts.may_run_suspect = may_run_suspect;
-  play_start (p);
+  harness_start (p);
   add_crashes (p, "ws", 3);
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->sends, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a request that stays suspect after a complete answer. */
 static void
 test_suspect_answered (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   p->relays->opts.may_run_suspect = may_run_suspect;
   p->turn = true;
   add_crashes (p, "ws", 3);
-  play_start (p);
-  play_answer (p, "a");
+  harness_start (p);
+  harness_answer (p, "a");
   p->turn = false;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 2);
-  play_answer (p, "a");
-  play_free (p);
+  harness_answer (p, "a");
+  harness_free (p);
 }
 
 /* A VM that starts has not read the evidence of the others yet: it answers
@@ -171,28 +171,28 @@
 static void
 test_evidence_unknown (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   p->evidence_known = false;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   p->evidence_known = true;
-  play_start (p);
-  play_answer (p, "a");
-  play_free (p);
+  harness_start (p);
+  harness_answer (p, "a");
+  harness_free (p);
 }
 
 /* The connection of a request breaks, and the probe of its endpoint gives
    PROBE.  Returns whether there is evidence on the request. */
 static bool
-break_off (struct play *p, enum relay_probe_result probe)
+break_off (struct harness *p, enum relay_probe_result probe)
 {
   struct reqid id;
 
   reqid_of (&p->desc, "ws", &id);
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   if (p->probe != NULL)
     p->probe (p->probe_arg, probe, NULL);
@@ -210,17 +210,17 @@
 {
   static const enum relay_probe_result probes[]
       = { RELAY_PROBE_ALIVE, RELAY_PROBE_SILENT, RELAY_PROBE_CRASHED };
-  struct play *p;
+  struct harness *p;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (probes); i++)
     {
-      p = play_new (FLEET_ONCE);
+      p = harness_new (FLEET_ONCE);
       g_assert_true (break_off (p, probes[i])
                      == (probes[i] == RELAY_PROBE_CRASHED));
       g_assert_cmpint (p->probes, ==, 1);
       g_assert_cmpint (p->observed, ==, probes[i] == RELAY_PROBE_CRASHED);
-      play_free (p);
+      harness_free (p);
     }
 }
 
@@ -232,30 +232,30 @@
 static void
 test_probed_again (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
   g_assert_false (break_off (p, RELAY_PROBE_SILENT));
-  play_run (p, 150 * CQ_US_PER_MS);
+  harness_run (p, 150 * CQ_US_PER_MS);
   g_assert_cmpint (p->probes, ==, 2);
   p->probe (p->probe_arg, RELAY_PROBE_CRASHED, NULL);
   g_assert_cmpint (p->observed, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* A draining endpoint ends as announced, whatever requests it still has. */
 static void
 test_draining_not_probed (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct fleet_endpoint *e;
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   APR_RING_FOREACH (e, &p->fleet.endpoints, fleet_endpoint, link)
   e->draining = true;
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->probes, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 /* An endpoint that breaks off one answer after another is probed once a
@@ -263,7 +263,7 @@
 static void
 test_probe_interval (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int i;
 
@@ -271,23 +271,23 @@
   for (i = 0; i < 5; i++)
     break_off (p, RELAY_PROBE_ALIVE);
   g_assert_cmpint (p->probes, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* While no endpoint has crashed, no digest of a request is computed. */
 static void
 test_no_evidence_no_digest (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_ONCE);
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   g_assert_false (p->relay->has_identity);
-  play_head (p, 200);
-  play_body (p, "a");
-  play_end (p, true, true);
+  harness_head (p, 200);
+  harness_body (p, "a");
+  harness_end (p, true, true);
   g_assert_cmpint (p->probes, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 const struct unit relayquar_units[] = {
