--- a/regress/relayplay.c
+++ b/regress/relayharness.c
@@ -1,5 +1,5 @@
 /* Test harness for the relay. */
-#include "relayplay.h"
+#include "relayharness.h"
 
 #include <glib.h>
 #include <string.h>
--- a/regress/relayplay.h
+++ b/regress/relayharness.h
@@ -2,8 +2,8 @@
  * Test harness for the relay: a simulated engine, caller, platform and other
  * VMs, driven by a test so that each fault happens at an exact point.
  */
-#ifndef CQ_RELAYPLAY_H
-#define CQ_RELAYPLAY_H
+#ifndef CQ_RELAYHARNESS_H
+#define CQ_RELAYHARNESS_H
 
 #include "librelay.h"
 
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "cold.h"
-#include "relayplay.h"
+#include "relayharness.h"
 #include "tell.h"
 #include "units.h"
 
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "evac.h"
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
 #define SETTLED_US (60 * CQ_US_PER_S)
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "../platform/platform.h"
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
 static char **
--- a/regress/test-limit.c
+++ b/regress/test-limit.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "limit.h"
-#include "relayplay.h"
+#include "relayharness.h"
 #include "tell.h"
 #include "units.h"
 
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
 /* Start a request that is placed at A. */
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
 /* --- freshness ------------------------------------------------------- */
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
 /* Another VM saw N endpoints crash under the request, half a second apart. */
