--- a/relaytry.c
+++ b/relaytry.c
@@ -364,8 +364,8 @@
 }
 
 static void
-answer (struct relay *r, enum outcome outcome, const char *reason,
-        int64_t now_us)
+pass_answer (struct relay *r, enum outcome outcome, const char *reason,
+             int64_t now_us)
 {
   const struct relay_caller *c = r->desc.caller;
 
@@ -423,7 +423,7 @@
   remember_tried (r);
   relay_release_endpoint (r, now_us);
   if (v.next == NEXT_FINISH && sent == SEND_WHOLE)
-    answer (r, v.outcome, v.reason, now_us);
+    pass_answer (r, v.outcome, v.reason, now_us);
   else if (v.next == NEXT_FINISH)
     relay_give_up (r, v.outcome, reason,
                    retry_after (r, RETRY_AFTER_FAILURE_US), now_us);
@@ -533,7 +533,7 @@
 }
 
 static void
-attempt (struct relay *r, const struct pick_choice *c, int64_t now_us)
+send_attempt (struct relay *r, const struct pick_choice *c, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
   bool model = c->endpoint->is.model[0] != '\0';
@@ -677,7 +677,7 @@
   if (c.code == PICK_CHOSEN && is_refused_for_load (r, &c, now_us))
     refuse_overload (r, now_us);
   else if (c.code == PICK_CHOSEN)
-    attempt (r, &c, now_us);
+    send_attempt (r, &c, now_us);
   else
     {
       count_unplaced_reason (c.code);
