--- a/relay.c
+++ b/relay.c
@@ -160,7 +160,7 @@
     r->desc.caller->refuse (r->desc.arg, why, retry_after_us);
 }
 
-/* The caller is told "not run" only if no attempt may have run. */
+/* The caller is answered at once, and "not run" only for OUT_NOT_RUN. */
 void
 relay_give_up (struct relay *r, enum outcome outcome, const char *reason,
                int64_t retry_after_us, int64_t now_us)
--- a/relaytry.c
+++ b/relaytry.c
@@ -22,7 +22,7 @@
 /* Callers that are refused for overload are told to retry after 1 / this of
    their remaining time. */
 #define OVERLOAD_RETRY_DIVISOR 3
-/* The least such delay: a second request costs about as much. */
+/* Shortest such delay, since a second request costs about as much. */
 #define OVERLOAD_RETRY_MIN_US (100 * CQ_US_PER_MS)
 /* The delay is shortened at random by up to 1 / this of it, so that callers
    refused together do not return together. */
--- a/relaywork.c
+++ b/relaywork.c
@@ -1,6 +1,4 @@
-/* The load that requests put on endpoints: estimates, and reports to other
- * VMs.
- */
+/* Load of requests on endpoints: estimates, and reports to other VMs. */
 #include "librelay.h"
 
 #include <string.h>
