--- a/librelay.h
+++ b/librelay.h
@@ -51,7 +51,7 @@
   const char *service;                     /* service it is sent to */
   struct relay_service *service_state;     /* shared by its requests */
   int rank;            /* admission rank, lower goes first */
-  int64_t received_us; /* when it was received in full */
+  int64_t arrived_us;  /* when it was received in full */
   int64_t deadline_us; /* no answer is sent after this time */
   struct fleet_endpoint
       *tried[PICK_EXCLUDE_MAX];    /* failed there; references */
--- a/relay.c
+++ b/relay.c
@@ -134,7 +134,7 @@
   met_add (ids[outcome], 1);
   met_add (MET_RUNNING, -1);
   if (outcome == OUT_ANSWERED)
-    met_observe (MET_WHOLE_TIME, now_us - r->received_us);
+    met_observe (MET_WHOLE_TIME, now_us - r->arrived_us);
   log_event (
       LOG_LEVEL_INFO, "finish",
       "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
@@ -142,9 +142,9 @@
       " whole_us=%" G_GINT64_FORMAT,
       r->desc.id, r->route->name, out_name (outcome), reason, r->status,
       r->attempts, r->unsent,
-      (gint64)(r->handed_over_us ? r->handed_over_us - r->received_us : 0),
-      (gint64)(r->first_chunk_us ? r->first_chunk_us - r->received_us : 0),
-      (gint64)(now_us - r->received_us));
+      (gint64)(r->handed_over_us ? r->handed_over_us - r->arrived_us : 0),
+      (gint64)(r->first_chunk_us ? r->first_chunk_us - r->arrived_us : 0),
+      (gint64)(now_us - r->arrived_us));
   relay_release_endpoint (r, now_us);
   APR_RING_REMOVE (r, link);
   r->rs->count--;
@@ -292,7 +292,7 @@
   r->route = route;
   r->service = fleet_split_pick (route, digest);
   r->service_state = get_or_add_service (rs, r->service);
-  r->received_us = now_us;
+  r->arrived_us = now_us;
   r->deadline_us = now_us + route->timeout_us;
   if (d->deadline_us > 0 && d->deadline_us < r->deadline_us)
     r->deadline_us = d->deadline_us;
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -156,11 +156,11 @@
 relay_admit_permille (const struct relay *r, const struct pick_choice *c,
                       int64_t now_us)
 {
-  int64_t wait = now_us - r->received_us + c->wait_us;
+  int64_t wait = now_us - r->arrived_us + c->wait_us;
 
   if (r->route->kind != FLEET_STREAM || r->stream_begun)
     return SHARE_ALL;
-  if (r->received_us + wait > r->deadline_us)
+  if (r->arrived_us + wait > r->deadline_us)
     return 0;
   return admitted_share (r, wait, now_us);
 }
@@ -178,6 +178,6 @@
              r->desc.id, r->route->name, c->endpoint->is.id,
              relay_workspace (r), r->rank, keep, admit_keep (a, now_us),
              (gint64)a->pressure,
-             (gint64)(now_us - r->received_us + c->wait_us),
+             (gint64)(now_us - r->arrived_us + c->wait_us),
              (gint64)(r->deadline_us - now_us), c->candidates, c->over_bound);
 }
--- a/relaytry.c
+++ b/relaytry.c
@@ -140,7 +140,7 @@
   if (r->handed_over_us == 0)
     {
       r->handed_over_us = now;
-      met_observe (MET_HANDOVER_TIME, now - r->received_us);
+      met_observe (MET_HANDOVER_TIME, now - r->arrived_us);
     }
   return true;
 }
@@ -225,7 +225,7 @@
                   r->pending_prefill_tokens + r->shared_pending_prefill_tokens
                       + r->work.own,
                   r->first_chunk_us - r->sent_us);
-      met_observe (MET_FIRST_TOKEN, r->first_chunk_us - r->received_us);
+      met_observe (MET_FIRST_TOKEN, r->first_chunk_us - r->arrived_us);
       relay_record_wait (r, r->first_chunk_us);
       r->desc.caller->begin (r->desc.arg, r->status,
                              (const char *const *)r->lines);
