--- a/relayquar.c
+++ b/relayquar.c
@@ -1,4 +1,4 @@
-/* Requests that are passed on, and the quarantine. */
+/* The relay's use of the quarantine. */
 #include "librelay.h"
 
 #include <string.h>
@@ -9,13 +9,13 @@
 const struct reqid *
 relay_identity (struct relay *r)
 {
-  if (!r->identified)
+  if (!r->has_identity)
     reqid_of (&r->desc, relay_workspace (r), &r->identity);
-  r->identified = true;
+  r->has_identity = true;
   return &r->identity;
 }
 
-/* Endpoints that the request could go to. */
+/* Number of endpoints of the request's service. */
 static int
 count_endpoints (const struct relay *r)
 {
@@ -27,9 +27,9 @@
   return n;
 }
 
-/* Whether another attempt at the same request is under way here. */
+/* Whether this worker runs another attempt at the same request. */
 static bool
-runs_already (struct relay *r)
+is_running_here (struct relay *r)
 {
   struct relay *o;
 
@@ -42,71 +42,69 @@
 }
 
 /*
- * A suspect request came at several VMs at once, and crashed an endpoint at
- * each before any of them heard of the others' crashes.  One at a time, each
- * crash counts before the next run begins.
+ * A suspect request that reaches several VMs at once could crash an endpoint
+ * at each of them before they learn of each other's crashes.  With one run at
+ * a time, each crash is known before the next run starts.
  */
 static bool
-has_turn (struct relay *r, int64_t now_us)
+may_run_suspect (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  return !runs_already (r)
-         && (o->suspect_turn == NULL
-             || o->suspect_turn (o->quar_arg, relay_identity (r), now_us));
+  return !is_running_here (r)
+         && (o->may_run_suspect == NULL
+             || o->may_run_suspect (o->quar_arg, relay_identity (r), now_us));
 }
 
-/*
- * Where nothing is known of any request, none is even digested: a calm VM pays
- * nothing for it.
- */
-enum relay_hold
-relay_hold (struct relay *r, int64_t now_us)
+/* While there is no evidence on any request, no digest is computed, so that
+   the quarantine costs nothing in normal operation. */
+enum relay_quar_decision
+relay_check_quarantine (struct relay *r, int64_t now_us)
 {
   static const char *const names[] = {
-    [HOLD_NONE] = "passed",
-    [HOLD_TURN] = "deferred",
-    [HOLD_CRASHES] = "held",
+    [RELAY_QUAR_PASS] = "passed",
+    [RELAY_QUAR_DEFER] = "deferred",
+    [RELAY_QUAR_REFUSE] = "held",
   };
   const struct relays_opts *o = &r->rs->opts;
-  enum relay_hold hold = HOLD_NONE;
+  enum relay_quar_decision hold = RELAY_QUAR_PASS;
   struct quar_verdict v;
   char text[REQID_TEXT_SIZE];
   int64_t now_ms;
 
-  r->suspect = false;
+  r->is_suspect = false;
   if (o->quar == NULL || !quar_any (o->quar)
       || !quar_suspects (o->quar, relay_identity (r)))
-    return HOLD_NONE;
+    return RELAY_QUAR_PASS;
   now_ms = o->clock_ms (o->quar_arg, now_us);
   v = quar_judge (o->quar, relay_identity (r), count_endpoints (r), now_ms);
   if (v.crashes == 0)
-    return HOLD_NONE;
-  r->suspect = v.suspect;
+    return RELAY_QUAR_PASS;
+  r->is_suspect = v.suspect;
   if (v.held)
-    hold = HOLD_CRASHES;
-  else if (v.suspect && !has_turn (r, now_us))
-    hold = HOLD_TURN;
+    hold = RELAY_QUAR_REFUSE;
+  else if (v.suspect && !may_run_suspect (r, now_us))
+    hold = RELAY_QUAR_DEFER;
   log_event (LOG_LEVEL_INFO, "quarantine",
              "req=%s digest=%s outcome=%s crashes=%d chance=%.1e "
              "left_ms=%" G_GINT64_FORMAT,
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
              v.crashes, v.chance, (gint64)(v.held ? v.until_ms - now_ms : 0));
-  met_add (MET_HELD, hold == HOLD_CRASHES);
-  met_add (MET_DEFERRED, hold == HOLD_TURN);
+  met_add (MET_HELD, hold == RELAY_QUAR_REFUSE);
+  met_add (MET_DEFERRED, hold == RELAY_QUAR_DEFER);
   return hold;
 }
 
-/* An answer that says it was refused, or gave up in a queue, shows nothing of
-   what a run would have done. */
+/* Whether the request ran to its end.  An endpoint that refuses a request, or
+   drops it from its queue, does not show what a run would have done. */
 static bool
-was_answered (const struct relay *r, enum send_state sent)
+has_run_whole (const struct relay *r, enum send_state sent)
 {
-  return sent == SEND_COMPLETE && r->stopped == NULL && r->status < 500;
+  return sent == SEND_COMPLETE && r->stop_reason == NULL && r->status < 500;
 }
 
 static void
-answered (struct relay *r, int64_t now_us)
+record_success (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
   struct quar_fact f = { .done = true };
@@ -116,21 +114,21 @@
   f.id = *relay_identity (r);
   f.crash.at_ms = o->clock_ms (o->quar_arg, now_us);
   if (quar_take (o->quar, &f, true))
-    o->observed (o->quar_arg, now_us);
+    o->on_evidence (o->quar_arg, now_us);
 }
 
 void
-relay_observe (struct relay *r, enum send_state sent, int64_t now_us)
+relay_record_evidence (struct relay *r, enum send_state sent, int64_t now_us)
 {
-  int64_t since = r->answering ? r->first_us : r->sent_us;
+  int64_t since = r->has_body ? r->first_chunk_us : r->sent_us;
 
   if (r->rs->crash == NULL)
     return;
-  if (was_answered (r, sent))
-    answered (r, now_us);
-  /* What we broke off ourselves, or gave up, says nothing. */
-  else if (r->stopped == NULL
+  if (has_run_whole (r, sent))
+    record_success (r, now_us);
+  /* An attempt that this VM cancelled shows nothing. */
+  else if (r->stop_reason == NULL
            && (sent == SEND_PARTIAL || sent == SEND_REPLIED))
-    relaycrash_broke (r->rs->crash, r->endpoint, relay_identity (r),
-                      now_us - MAX (since, r->sent_us), now_us);
+    relaycrash_report (r->rs->crash, r->endpoint, relay_identity (r),
+                       now_us - MAX (since, r->sent_us), now_us);
 }
