--- a/cold.c
+++ b/cold.c
@@ -24,7 +24,7 @@
 }
 
 int
-cold_part (int rate, int vms, int rank)
+cold_share (int rate, int vms, int rank)
 {
   int chosen = MIN (rate, vms);
 
@@ -32,15 +32,16 @@
 }
 
 bool
-cold_is_unjudged (const struct cold *c, int64_t now_us)
+cold_is_share_stale (const struct cold *c, int64_t now_us)
 {
   return cold_is (c, now_us)
-         && (c->judged_us == 0 || now_us - c->judged_us >= JUDGE_US);
+         && (c->interval_set_us == 0
+             || now_us - c->interval_set_us >= JUDGE_US);
 }
 
 void
-cold_judge (struct cold *c, int rate, int64_t now_us)
+cold_set_share (struct cold *c, int rate, int64_t now_us)
 {
-  c->pace.gap_us = rate > 0 ? PERIOD_US / rate : 0;
-  c->judged_us = now_us;
+  c->pace.interval_us = rate > 0 ? PERIOD_US / rate : 0;
+  c->interval_set_us = now_us;
 }
--- a/cold.h
+++ b/cold.h
@@ -19,9 +19,9 @@
 /* An endpoint as this VM sees it; zeros if it never was cold. */
 struct cold
 {
-  int64_t until_us;  /* cold until then */
-  int64_t judged_us; /* the pace was set */
-  struct pace pace;  /* of this VM's requests while it is cold */
+  int64_t until_us;        /* cold until then */
+  int64_t interval_set_us; /* the pace was set */
+  struct pace pace;        /* of this VM's requests while it is cold */
 };
 
 /* It is cold until AT_US, unless that is known to be later. */
@@ -29,11 +29,11 @@
 bool cold_is (const struct cold *c, int64_t now_us);
 /* This VM's part of the rate RATE, as the VM with rank RANK, from 0, of VMS; 0
    if others send. */
-int cold_part (int rate, int vms, int rank);
+int cold_share (int rate, int vms, int rank);
 /* Whether the part has to be worked out, for the first time or anew. */
-bool cold_is_unjudged (const struct cold *c, int64_t now_us);
+bool cold_is_share_stale (const struct cold *c, int64_t now_us);
 /* This VM may send RATE requests a second; evenly spaced, so that no second
    holds two parts. */
-void cold_judge (struct cold *c, int rate, int64_t now_us);
+void cold_set_share (struct cold *c, int rate, int64_t now_us);
 
 #endif
--- a/conf.c
+++ b/conf.c
@@ -148,7 +148,7 @@
   g_mutex_lock (&c->lock);
   g_ptr_array_add (c->changes, ch);
   c->revision = revision;
-  fresh_reached (&c->fresh, revision, c->wanted);
+  fresh_revision_applied (&c->fresh, revision, c->wanted);
   g_mutex_unlock (&c->lock);
   return true;
 }
@@ -182,7 +182,7 @@
 conf_confirmed (struct conf *c, uint64_t revision, int64_t at_us)
 {
   g_mutex_lock (&c->lock);
-  fresh_said (&c->fresh, revision, c->revision, c->wanted, at_us);
+  fresh_confirm (&c->fresh, revision, c->revision, c->wanted, at_us);
   g_mutex_unlock (&c->lock);
 }
 
@@ -206,7 +206,7 @@
   bool over;
 
   g_mutex_lock (&c->lock);
-  over = fresh_over (&c->fresh, limit, now_us);
+  over = fresh_is_expired (&c->fresh, limit, now_us);
   g_mutex_unlock (&c->lock);
   return over;
 }
--- a/entry.c
+++ b/entry.c
@@ -82,7 +82,7 @@
 
   return server_phase (s) < PHASE_NOTICE && e->fleet.conf != NULL
          && e->fleet.listed && quarfeed_known (e->quarfeed, now_us)
-         && fleet_age_us (&e->fleet, now_us) < stale;
+         && fleet_conf_age_us (&e->fleet, now_us) < stale;
 }
 
 static void
@@ -96,7 +96,8 @@
   if (ready != e->was_ready)
     log_event (LOG_LEVEL_INFO, "ready",
                "outcome=%s conf_age_us=%" G_GINT64_FORMAT " phase=%d",
-               ready ? "yes" : "no", (gint64)fleet_age_us (&e->fleet, now),
+               ready ? "yes" : "no",
+               (gint64)fleet_conf_age_us (&e->fleet, now),
                (int)server_phase (r->worker->server));
   e->was_ready = ready;
   req_respond (r, ready ? 200 : 503, NULL, "", 0);
@@ -120,7 +121,7 @@
 {
   struct entry *e = arg;
 
-  fleet_sweep (&e->fleet, now_us);
+  fleet_remove_missing (&e->fleet, now_us);
   evac_sweep (&e->fleet, now_us);
   if (orders_held (e->orders))
     e->duty_us = now_us;
@@ -299,7 +300,7 @@
   const struct entry *e = arg;
 
   if (e->tell == NULL)
-    return LIMIT_LOOK_US;
+    return LIMIT_PROBE_INTERVAL_US;
   return tell_limit_gap (e->tell, endpoint, milli, platform_ms (arg, now_us));
 }
 
@@ -386,17 +387,18 @@
   e->settings = cfg_ref (server_cfg (w->server));
   e->cfg = cfg_entry (e->settings);
   fleet_init (&e->fleet);
-  if (!fleet_take_regions (&e->fleet, e->cfg->regions))
+  if (!fleet_parse_regions (&e->fleet, e->cfg->regions))
     log_event (LOG_LEVEL_ERROR, "regions", "outcome=unreadable text=\"%s\"",
                e->cfg->regions);
   e->fleet.cold_part = cold_part_of;
-  e->fleet.limit_gap = limit_gap_of;
-  e->fleet.vms_arg = e;
-  e->fleet.old_max_us = e->cfg->version_ms * CQ_US_PER_MS - VERSION_MARGIN_US;
-  e->fleet.factors.unread = (int)e->cfg->weigh_unread;
+  e->fleet.limit_interval_us = limit_gap_of;
+  e->fleet.share_arg = e;
+  e->fleet.outdated_accept_us
+      = e->cfg->version_ms * CQ_US_PER_MS - VERSION_MARGIN_US;
+  e->fleet.factors.pending_prefill = (int)e->cfg->weigh_unread;
   e->fleet.factors.memory = (int)e->cfg->weigh_memory;
   e->fleet.factors.parts = (int)e->cfg->weigh_parts;
-  e->fleet.old_end_us
+  e->fleet.outdated_start_us
       = e->cfg->version_ms * CQ_US_PER_MS - VERSION_END_MARGIN_US;
   e->book = load_new ();
   e->quar = quar_new (e->cfg->quarantine_s * CQ_US_PER_S / CQ_US_PER_MS);
--- a/evac.c
+++ b/evac.c
@@ -31,7 +31,7 @@
 void
 evac_begin (struct fleet *f, const char *domain, int64_t row)
 {
-  struct fleet_evacuation new = { .missing_us = 0 };
+  struct fleet_evacuation new = { .missing_since_us = 0 };
   int i = find (f, domain);
 
   if (i < 0)
@@ -41,9 +41,11 @@
       log_evacuation (domain, "begun", row);
       return;
     }
-  if (g_array_index (f->evacuated, struct fleet_evacuation, i).missing_us != 0)
+  if (g_array_index (f->evacuated, struct fleet_evacuation, i).missing_since_us
+      != 0)
     log_evacuation (domain, "confirmed", row);
-  g_array_index (f->evacuated, struct fleet_evacuation, i).missing_us = 0;
+  g_array_index (f->evacuated, struct fleet_evacuation, i).missing_since_us
+      = 0;
 }
 
 /* Endpoints may have become cold just before the evacuation ended, and their
@@ -60,7 +62,7 @@
       continue;
     s = g_hash_table_lookup (f->conf->services, e->is.service);
     if (s != NULL)
-      cold_until (&e->cold, now_us + s->cold_us);
+      cold_until (&e->cold, now_us + s->cold_start_us);
   }
 }
 
@@ -94,15 +96,15 @@
 
   if (i < 0)
     return;
-  if (fleet_missing_counts (f, now_us))
+  if (fleet_is_list_settled (f, now_us))
     {
       end_at (f, i, now_us);
       return;
     }
   v = &g_array_index (f->evacuated, struct fleet_evacuation, i);
-  if (v->missing_us == 0)
+  if (v->missing_since_us == 0)
     log_evacuation (domain, "doubted", 0);
-  v->missing_us = now_us;
+  v->missing_since_us = now_us;
 }
 
 void
@@ -110,10 +112,11 @@
 {
   int i;
 
-  if (!fleet_missing_counts (f, now_us))
+  if (!fleet_is_list_settled (f, now_us))
     return;
   for (i = (int)f->evacuated->len - 1; i >= 0; i--)
-    if (g_array_index (f->evacuated, struct fleet_evacuation, i).missing_us
+    if (g_array_index (f->evacuated, struct fleet_evacuation, i)
+            .missing_since_us
         != 0)
       end_at (f, i, now_us);
 }
--- a/fleet.c
+++ b/fleet.c
@@ -27,7 +27,7 @@
   g_free (r->splits);
   g_free (r->name);
   g_free (r->host);
-  g_strfreev (r->homes);
+  g_strfreev (r->allowed_regions);
   g_free (r->prefix);
   g_free (r);
 }
@@ -46,7 +46,7 @@
 fleet_workspace_free (struct fleet_workspace *w)
 {
   g_free (w->name);
-  g_strfreev (w->homes);
+  g_strfreev (w->allowed_regions);
   g_free (w);
 }
 
@@ -80,7 +80,7 @@
 }
 
 void
-fleet_conf_seal (struct fleet_conf *c)
+fleet_conf_build_index (struct fleet_conf *c)
 {
   GHashTableIter it;
   gpointer list;
@@ -145,7 +145,7 @@
 }
 
 const char *
-fleet_split_pick (const struct fleet_route *r, uint64_t digest)
+fleet_split_select (const struct fleet_route *r, uint64_t digest)
 {
   int64_t all = 0;
   int64_t at;
@@ -176,7 +176,8 @@
   APR_RING_INIT (&f->former, fleet_endpoint, link);
   f->by_id = g_hash_table_new (g_str_hash, g_str_equal);
   f->wanted = g_array_new (FALSE, TRUE, sizeof (struct fleet_wanted));
-  f->seen = g_array_new (FALSE, TRUE, sizeof (struct fleet_service_seen));
+  f->service_stats
+      = g_array_new (FALSE, TRUE, sizeof (struct fleet_service_stats));
   f->regions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   f->evacuated = g_array_new (FALSE, TRUE, sizeof (struct fleet_evacuation));
 }
@@ -209,7 +210,8 @@
 static bool
 is_remembered (const struct fleet_endpoint *e)
 {
-  return e->draining || e->limit.named || e->asked_rest_us > 0 || e->refs > 1;
+  return e->draining || e->limit.active || e->requested_backoff_until_us > 0
+         || e->refs > 1;
 }
 
 static void
@@ -233,7 +235,7 @@
 
   APR_RING_FOREACH (e, &f->former, fleet_endpoint, link)
   {
-    if (strcmp (e->is.id, l->id) == 0 && e->is.born_ms == l->born_ms)
+    if (strcmp (e->is.id, l->id) == 0 && e->is.started_ms == l->started_ms)
       return e;
   }
   return NULL;
@@ -260,7 +262,7 @@
     forget (f, APR_RING_FIRST (&f->former));
   g_hash_table_destroy (f->by_id);
   g_array_free (f->wanted, TRUE);
-  g_array_free (f->seen, TRUE);
+  g_array_free (f->service_stats, TRUE);
   g_array_free (f->evacuated, TRUE);
   g_hash_table_destroy (f->regions);
   fleet_conf_unref (f->conf);
@@ -272,7 +274,7 @@
  * away.  Both the change's number and the operator's own must grow.
  */
 bool
-fleet_take_conf (struct fleet *f, struct fleet_conf *c, int64_t row)
+fleet_apply_conf (struct fleet *f, struct fleet_conf *c, int64_t row)
 {
   if (row <= f->conf_row || (f->conf != NULL && c->version < f->conf->version))
     {
@@ -324,7 +326,7 @@
 
   for (i = 0; i < w->nnamed; i++)
     if (w->named[i].version >= version)
-      return w->named[i].heard_us;
+      return w->named[i].learned_us;
   return FLEET_NEVER;
 }
 
@@ -333,36 +335,36 @@
 static void
 add_fact (struct fleet_wanted *w, int64_t version, int64_t at_us)
 {
-  struct fleet_fact fact = { version, at_us };
+  struct fleet_naming_bound fact = { version, at_us };
   int64_t heard = heard_from (w, version);
-  int i = w->nfacts;
+  int i = w->nbounds;
 
   /* It was named by then, whatever others say. */
   if (heard != FLEET_NEVER)
     fact.at_us = MIN (at_us, heard);
-  while (i > 0 && w->facts[i - 1].version > version)
+  while (i > 0 && w->bounds[i - 1].version > version)
     i--;
-  if (i > 0 && w->facts[i - 1].version == version)
+  if (i > 0 && w->bounds[i - 1].version == version)
     {
-      w->facts[i - 1].at_us = MAX (w->facts[i - 1].at_us, fact.at_us);
+      w->bounds[i - 1].at_us = MAX (w->bounds[i - 1].at_us, fact.at_us);
       return;
     }
-  if (w->nfacts == FLEET_FACTS_MAX && i == 0)
+  if (w->nbounds == FLEET_NAMING_BOUNDS_MAX && i == 0)
     return;
-  if (w->nfacts == FLEET_FACTS_MAX)
+  if (w->nbounds == FLEET_NAMING_BOUNDS_MAX)
     {
-      memmove (w->facts, w->facts + 1, sizeof fact * (size_t)--w->nfacts);
+      memmove (w->bounds, w->bounds + 1, sizeof fact * (size_t)--w->nbounds);
       i--;
     }
-  memmove (w->facts + i + 1, w->facts + i,
-           sizeof fact * (size_t)(w->nfacts - i));
-  w->facts[i] = fact;
-  w->nfacts++;
+  memmove (w->bounds + i + 1, w->bounds + i,
+           sizeof fact * (size_t)(w->nbounds - i));
+  w->bounds[i] = fact;
+  w->nbounds++;
 }
 
 bool
-fleet_take_wanted (struct fleet *f, const char *model, int64_t version,
-                   int64_t early_us, int64_t now_us)
+fleet_apply_wanted (struct fleet *f, const char *model, int64_t version,
+                    int64_t early_us, int64_t now_us)
 {
   struct fleet_wanted new = { .version = 0 };
   struct fleet_wanted *w = find_wanted (f, model);
@@ -382,7 +384,7 @@
 }
 
 void
-fleet_wanted_current (struct fleet *f, int64_t at_us)
+fleet_confirm_wanted (struct fleet *f, int64_t at_us)
 {
   struct fleet_wanted *w;
   guint i;
@@ -395,8 +397,8 @@
 }
 
 void
-fleet_named_since (struct fleet *f, const char *model, int64_t version,
-                   int64_t at_us)
+fleet_add_naming_bound (struct fleet *f, const char *model, int64_t version,
+                        int64_t at_us)
 {
   struct fleet_wanted *w = find_wanted (f, model);
 
@@ -405,20 +407,22 @@
 }
 
 int64_t
-fleet_not_before (const struct fleet *f, const char *model, int64_t version)
+fleet_earliest_naming_us (const struct fleet *f, const char *model,
+                          int64_t version)
 {
   const struct fleet_wanted *w = find_wanted (f, model);
   int64_t at = FLEET_NEVER;
   int i;
 
-  for (i = 0; w != NULL && i < w->nfacts; i++)
-    if (w->facts[i].version <= version)
-      at = MAX (at, w->facts[i].at_us);
+  for (i = 0; w != NULL && i < w->nbounds; i++)
+    if (w->bounds[i].version <= version)
+      at = MAX (at, w->bounds[i].at_us);
   return at;
 }
 
 int64_t
-fleet_heard_from (const struct fleet *f, const char *model, int64_t version)
+fleet_version_learned_us (const struct fleet *f, const char *model,
+                          int64_t version)
 {
   const struct fleet_wanted *w = find_wanted (f, model);
 
@@ -426,9 +430,10 @@
 }
 
 int64_t
-fleet_outdated_since (const struct fleet *f, const struct fleet_endpoint *e)
+fleet_earliest_outdated_us (const struct fleet *f,
+                            const struct fleet_endpoint *e)
 {
-  return fleet_not_before (f, e->is.model, e->version + 1);
+  return fleet_earliest_naming_us (f, e->is.model, e->version + 1);
 }
 
 /* A second version may be named before the first is in place; each counts
@@ -465,11 +470,12 @@
 }
 
 int64_t
-fleet_outdated_us (const struct fleet *f, const struct fleet_endpoint *e)
+fleet_outdated_learned_us (const struct fleet *f,
+                           const struct fleet_endpoint *e)
 {
   const struct fleet_named *n = fleet_outdated_by (f, e);
 
-  return n != NULL ? n->heard_us : 0;
+  return n != NULL ? n->learned_us : 0;
 }
 
 /*
@@ -479,14 +485,14 @@
  * VM cannot know that any grace is left.
  */
 bool
-fleet_outdated_for (const struct fleet *f, const struct fleet_endpoint *e,
-                    int64_t limit_us, int64_t now_us)
+fleet_is_outdated_for (const struct fleet *f, const struct fleet_endpoint *e,
+                       int64_t limit_us, int64_t now_us)
 {
   int64_t since;
 
   if (fleet_outdated_by (f, e) == NULL)
     return false;
-  since = fleet_outdated_since (f, e);
+  since = fleet_earliest_outdated_us (f, e);
   return since == FLEET_NEVER || now_us - since >= limit_us;
 }
 
@@ -498,8 +504,8 @@
  * answers overtake each other, and entries are seconds old.
  */
 void
-fleet_take_version (struct fleet_endpoint *e, int64_t version, int64_t at_us,
-                    int64_t now_us)
+fleet_apply_version (struct fleet_endpoint *e, int64_t version, int64_t at_us,
+                     int64_t now_us)
 {
   if (version <= 0)
     return;
@@ -519,26 +525,26 @@
 }
 
 const char *
-fleet_life_name (enum fleet_life life)
+fleet_incarnation_name (enum fleet_incarnation life)
 {
   static const char *const names[] = {
-    [FLEET_LIFE_SAME] = "same",
-    [FLEET_LIFE_YOUNGER] = "younger",
-    [FLEET_LIFE_OLDER] = "older",
-    [FLEET_LIFE_UNSAID] = "unsaid",
+    [FLEET_INCARNATION_SAME] = "same",
+    [FLEET_INCARNATION_NEWER] = "younger",
+    [FLEET_INCARNATION_OLDER] = "older",
+    [FLEET_INCARNATION_UNKNOWN] = "unsaid",
   };
 
   return names[life];
 }
 
-enum fleet_life
-fleet_life_of (const struct fleet_endpoint *e, int64_t born_ms)
+enum fleet_incarnation
+fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t born_ms)
 {
-  if (e == NULL || born_ms > e->is.born_ms)
-    return FLEET_LIFE_YOUNGER;
-  if (born_ms == e->is.born_ms)
-    return FLEET_LIFE_SAME;
-  return born_ms == 0 ? FLEET_LIFE_UNSAID : FLEET_LIFE_OLDER;
+  if (e == NULL || born_ms > e->is.started_ms)
+    return FLEET_INCARNATION_NEWER;
+  if (born_ms == e->is.started_ms)
+    return FLEET_INCARNATION_SAME;
+  return born_ms == 0 ? FLEET_INCARNATION_UNKNOWN : FLEET_INCARNATION_OLDER;
 }
 
 static struct fleet_endpoint *
@@ -557,7 +563,7 @@
   e->version = l->version;
   e->version_us = now_us;
   e->key = XXH3_64bits_withSeed (e->is.id, strlen (e->is.id),
-                                 (uint64_t)e->is.born_ms);
+                                 (uint64_t)e->is.started_ms);
   APR_RING_ELEM_INIT (e, link);
   APR_RING_INSERT_TAIL (&f->endpoints, e, fleet_endpoint, link);
   g_hash_table_insert (f->by_id, e->is.id, e);
@@ -574,23 +580,23 @@
              const struct fleet_listing *l, int64_t now_us)
 {
   struct limit limit = old->limit;
-  int64_t rest = old->asked_rest_us;
+  int64_t rest = old->requested_backoff_until_us;
   struct fleet_endpoint *e;
 
   drop (f, old);
   e = add_life (f, l, now_us);
   e->limit = limit;
-  e->asked_rest_us = rest;
+  e->requested_backoff_until_us = rest;
   return e;
 }
 
 struct fleet_endpoint *
-fleet_take_birth (struct fleet *f, struct fleet_endpoint *e, int64_t born_ms,
-                  int64_t now_us)
+fleet_apply_restart (struct fleet *f, struct fleet_endpoint *e,
+                     int64_t born_ms, int64_t now_us)
 {
   struct fleet_listing l = e->is;
 
-  l.born_ms = born_ms;
+  l.started_ms = born_ms;
   l.draining = false;
   /* It starts with the weights that it had. */
   l.version = e->version;
@@ -598,66 +604,68 @@
 }
 
 struct fleet_endpoint *
-fleet_take_listing (struct fleet *f, const struct fleet_listing *l,
-                    int64_t now_us)
+fleet_apply_listing (struct fleet *f, const struct fleet_listing *l,
+                     int64_t now_us)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (f->by_id, l->id);
 
-  switch (fleet_life_of (e, l->born_ms))
+  switch (fleet_incarnation_compare (e, l->started_ms))
     {
-    case FLEET_LIFE_OLDER:
-    case FLEET_LIFE_UNSAID:
+    case FLEET_INCARNATION_OLDER:
+    case FLEET_INCARNATION_UNKNOWN:
       return e;
-    case FLEET_LIFE_YOUNGER:
+    case FLEET_INCARNATION_NEWER:
       e = e != NULL ? start_again (f, e, l, now_us) : add_life (f, l, now_us);
       break;
-    case FLEET_LIFE_SAME:
+    case FLEET_INCARNATION_SAME:
       break;
     }
-  fleet_take_version (e, l->version, FLEET_NEVER, now_us);
+  fleet_apply_version (e, l->version, FLEET_NEVER, now_us);
   if (l->cold_us > 0)
     cold_until (&e->cold, now_us + l->cold_us);
   /* The id is a key of the table, and equal. */
   e->is = *l;
   /* One life of an endpoint never takes its leaving back; the next may. */
   e->draining |= l->draining;
-  e->missing_us = 0;
+  e->missing_since_us = 0;
   return e;
 }
 
 void
-fleet_list_back (struct fleet *f, int64_t now_us)
+fleet_list_recovered (struct fleet *f, int64_t now_us)
 {
-  f->back_us = now_us;
+  f->list_recovered_us = now_us;
 }
 
 bool
-fleet_missing_counts (const struct fleet *f, int64_t now_us)
+fleet_is_list_settled (const struct fleet *f, int64_t now_us)
 {
-  return f->back_us == 0 || now_us - f->back_us >= RETURN_WAIT_US;
+  return f->list_recovered_us == 0
+         || now_us - f->list_recovered_us >= RETURN_WAIT_US;
 }
 
 void
-fleet_take_missing (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
+fleet_apply_missing (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
 {
-  if (fleet_missing_counts (f, now_us))
+  if (fleet_is_list_settled (f, now_us))
     drop (f, e);
-  else if (e->missing_us == 0)
-    e->missing_us = now_us;
+  else if (e->missing_since_us == 0)
+    e->missing_since_us = now_us;
 }
 
 void
-fleet_sweep (struct fleet *f, int64_t now_us)
+fleet_remove_missing (struct fleet *f, int64_t now_us)
 {
   struct fleet_endpoint *e, *next;
 
-  if (f->back_us == 0 || now_us - f->back_us < RETURN_WAIT_US)
+  if (f->list_recovered_us == 0
+      || now_us - f->list_recovered_us < RETURN_WAIT_US)
     return;
   for (e = APR_RING_FIRST (&f->endpoints);
        e != APR_RING_SENTINEL (&f->endpoints, fleet_endpoint, link); e = next)
     {
       next = APR_RING_NEXT (e, link);
-      if (e->missing_us != 0)
+      if (e->missing_since_us != 0)
         drop (f, e);
     }
 }
@@ -665,7 +673,7 @@
 /* --- regions --------------------------------------------------------- */
 
 bool
-fleet_take_regions (struct fleet *f, const char *text)
+fleet_parse_regions (struct fleet *f, const char *text)
 {
   g_auto (GStrv) list = g_strsplit (text, " ", -1);
   char *equals;
@@ -694,8 +702,9 @@
 }
 
 bool
-fleet_is_home (const struct fleet *f, const struct fleet_homes *homes,
-               const char *domain)
+fleet_is_region_allowed (const struct fleet *f,
+                         const struct fleet_region_limits *homes,
+                         const char *domain)
 {
   const char *region;
 
@@ -739,36 +748,37 @@
   int part = 0;
 
   if (s != NULL && f->cold_part != NULL)
-    part = f->cold_part (f->vms_arg, e->key, s->cold_rate);
-  cold_judge (&e->cold, part, now_us);
+    part = f->cold_part (f->share_arg, e->key, s->cold_requests_s);
+  cold_set_share (&e->cold, part, now_us);
 }
 
 static void
 judge_limit (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
 {
-  int64_t gap = LIMIT_LOOK_US;
+  int64_t gap = LIMIT_PROBE_INTERVAL_US;
 
-  if (f->limit_gap != NULL)
-    gap = f->limit_gap (f->vms_arg, e->key, e->limit.milli, now_us);
-  limit_judge (&e->limit, gap, now_us);
+  if (f->limit_interval_us != NULL)
+    gap = f->limit_interval_us (f->share_arg, e->key, e->limit.milli_rps,
+                                now_us);
+  limit_set_interval (&e->limit, gap, now_us);
 }
 
 void
-fleet_judge_rates (struct fleet *f, int64_t now_us)
+fleet_refresh_rate_shares (struct fleet *f, int64_t now_us)
 {
   struct fleet_endpoint *e;
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (cold_is_unjudged (&e->cold, now_us))
+    if (cold_is_share_stale (&e->cold, now_us))
       judge_cold (f, e, now_us);
-    if (limit_is_unjudged (&e->limit, now_us))
+    if (limit_is_interval_stale (&e->limit, now_us))
       judge_limit (f, e, now_us);
   }
 }
 
 int64_t
-fleet_age_us (const struct fleet *f, int64_t now_us)
+fleet_conf_age_us (const struct fleet *f, int64_t now_us)
 {
-  return f->fresh_us == 0 ? INT64_MAX : now_us - f->fresh_us;
+  return f->conf_current_us == 0 ? INT64_MAX : now_us - f->conf_current_us;
 }
--- a/fleet.h
+++ b/fleet.h
@@ -23,9 +23,9 @@
 /* What may be repeated, and how the answer comes. */
 enum fleet_kind
 {
-  FLEET_IDEMPOTENT, /* may run more than once */
-  FLEET_ONCE,       /* runs at most once */
-  FLEET_STREAM      /* events; at most once unless it may resume */
+  FLEET_IDEMPOTENT,   /* may run more than once */
+  FLEET_AT_MOST_ONCE, /* runs at most once */
+  FLEET_STREAM        /* events; at most once unless it may resume */
 };
 
 /* A service that gets a share of a route's requests. */
@@ -42,14 +42,14 @@
   char *prefix;               /* head of the path, from slash to slash */
   enum fleet_kind kind;       /* what may be repeated */
   int64_t timeout_us;         /* longest wait for the answer */
-  int64_t target_us;          /* time in which an answer is worth most */
-  int64_t gap_us;             /* longest pause between events, 0 if none */
+  int64_t target_latency_us;  /* time in which an answer is worth most */
+  int64_t event_gap_us;       /* longest pause between events, 0 if none */
   int priority;               /* 0 goes first */
   int max_attempts;           /* endpoints one request may be sent to */
   bool anonymous;             /* no key is needed */
   bool sticky;                /* prompts share heads worth finding again */
   bool resumable;             /* a stream may go on at another endpoint */
-  char **homes;               /* regions it may use; NULL for all */
+  char **allowed_regions;     /* regions it may use; NULL for all */
   struct fleet_split *splits; /* where its requests go */
   int nsplits;                /* entries in splits, at least one */
 };
@@ -57,25 +57,26 @@
 /* A service as the operator declared it. */
 struct fleet_service
 {
-  char *name;            /* named by splits and endpoints */
-  char *model;           /* of its engines; NULL for a plain service */
-  int64_t memory_tokens; /* of KV cache that it holds, 0 if unknown */
-  int64_t token_bytes;   /* of a token in an engine's cache, 0 if unknown */
-  char *domain;          /* failure domain of a store, or NULL */
-  int64_t link_mbit_s;   /* its link, 0 if unknown */
-  int64_t first_us;      /* that each of its transfers waits in addition */
-  char *store_address;   /* IP:PORT if it is a store of kept KV cache */
-  int calls_max;         /* that a store holds at once; 0 if unsaid */
-  int64_t cold_us;       /* an endpoint is cold for so long after a start */
-  int cold_rate;         /* requests a second that it bears then */
+  char *name;                 /* named by splits and endpoints */
+  char *model;                /* of its engines; NULL for a plain service */
+  int64_t kv_capacity_tokens; /* of KV cache that it holds, 0 if unknown */
+  int64_t kv_token_bytes; /* of a token in an engine's cache, 0 if unknown */
+  char *domain;           /* failure domain of a store, or NULL */
+  int64_t link_mbit_s;    /* its link, 0 if unknown */
+  int64_t
+      transfer_latency_us; /* that each of its transfers waits in addition */
+  char *store_address;     /* IP:PORT if it is a store of kept KV cache */
+  int calls_max;           /* that a store holds at once; 0 if unsaid */
+  int64_t cold_start_us;   /* an endpoint is cold for so long after a start */
+  int cold_requests_s;     /* requests a second that it bears then */
 };
 
 struct fleet_workspace
 {
-  char *name;    /* told to endpoints */
-  int priority;  /* goes before the route's; -1 if it has none */
-  bool isolated; /* shares no cached work with others */
-  char **homes;  /* regions its requests may use; NULL for all */
+  char *name;             /* told to endpoints */
+  int priority;           /* goes before the route's; -1 if it has none */
+  bool isolated;          /* shares no cached work with others */
+  char **allowed_regions; /* regions its requests may use; NULL for all */
 };
 
 /* Bounds on what a caller may send. */
@@ -100,7 +101,7 @@
 
 struct fleet_conf *fleet_conf_new (void);
 /* Build the index after routes were added. */
-void fleet_conf_seal (struct fleet_conf *c);
+void fleet_conf_build_index (struct fleet_conf *c);
 struct fleet_conf *fleet_conf_ref (struct fleet_conf *c);
 void fleet_conf_unref (struct fleet_conf *c);
 void fleet_route_free (struct fleet_route *r);
@@ -112,7 +113,7 @@
                                             const char *host,
                                             const char *path);
 /* Service that gets the request with this digest. */
-const char *fleet_split_pick (const struct fleet_route *r, uint64_t digest);
+const char *fleet_split_select (const struct fleet_route *r, uint64_t digest);
 
 /* --- endpoints ------------------------------------------------------- */
 
@@ -126,7 +127,7 @@
 struct fleet_listing
 {
   char id[FLEET_NAME_SIZE];      /* of the endpoint, in all its lives */
-  int64_t born_ms;               /* start of this life, Unix time; 0: unsaid */
+  int64_t started_ms;            /* start of this life, Unix time; 0: unsaid */
   char address[FLEET_NAME_SIZE]; /* IP:PORT */
   char service[FLEET_NAME_SIZE]; /* that it serves */
   char domain[FLEET_NAME_SIZE];  /* failure domain */
@@ -138,28 +139,28 @@
 };
 
 /* A wait as this VM sees it. */
-struct fleet_wait
+struct fleet_ewma
 {
   int64_t smoothed_us; /* over the answers seen */
-  int64_t seen_us;     /* when the last one was; 0 for never */
+  int64_t updated_us;  /* when the last one was; 0 for never */
 };
 
 /* A service as this VM sees it. */
-struct fleet_service_seen
+struct fleet_service_stats
 {
   char service[FLEET_NAME_SIZE]; /* its name */
-  struct fleet_wait first;       /* for first pieces, over all endpoints */
-  int64_t base_us;     /* smoothed first piece of prompts that are short */
-  int64_t read_tokens; /* of long prompts, older ones counting less */
-  int64_t read_us;     /* that these took beyond a short one */
+  struct fleet_ewma first_chunk; /* for first pieces, over all endpoints */
+  int64_t short_prompt_us; /* smoothed first piece of prompts that are short */
+  int64_t prefill_tokens;  /* of long prompts, older ones counting less */
+  int64_t prefill_us;      /* that these took beyond a short one */
 };
 
 /* Percent of their weight that reasons have in placing; experiments only. */
 struct pick_factors
 {
-  int unread; /* work that is ahead at an endpoint */
-  int memory; /* that would run out there */
-  int parts;  /* kept ones that are found where a prompt is at home */
+  int pending_prefill; /* work that is ahead at an endpoint */
+  int memory;          /* that would run out there */
+  int parts;           /* kept ones that are found where a prompt is at home */
 };
 
 /* One life of an endpoint on this VM.  A younger one gets a struct of its own:
@@ -170,25 +171,26 @@
   APR_RING_ENTRY (fleet_endpoint) link; /* in the fleet's list */
   struct fleet_listing is;              /* last listing */
   int refs;                             /* the list, and requests at it */
-  bool draining;           /* sticky: some source said that it leaves */
-  bool gone;               /* it is listed no more */
-  int64_t missing_us;      /* missing since, while that is doubted; or 0 */
-  int64_t version;         /* weights by its last word on any channel */
-  int64_t version_us;      /* when that word came */
-  bool version_doubted;    /* it refused these weights and named no others */
-  uint64_t key;            /* of this life, among VMs */
-  int running;             /* our requests at it */
-  int reported;            /* requests it runs and holds, by its report */
-  int64_t reported_us;     /* when it said so; 0 for never */
-  int sent_since;          /* our sends since then, less our ends */
-  int failures;            /* in a row */
-  int64_t rest_until_us;   /* gets nothing until then, after failures */
-  int64_t full_until_us;   /* it refused for want of room: last choice */
-  int64_t asked_rest_us;   /* it wants nothing from this VM until then */
-  int64_t reload_us;       /* when its weights were ordered, 0 if not */
-  struct cold cold;        /* whether it bears but a low rate, and whose */
-  struct limit limit;      /* that it named for all VMs */
-  struct fleet_wait first; /* for the first piece of its answers */
+  bool draining;            /* sticky: some source said that it leaves */
+  bool gone;                /* it is listed no more */
+  int64_t missing_since_us; /* missing since, while that is doubted; or 0 */
+  int64_t version;          /* weights by its last word on any channel */
+  int64_t version_us;       /* when that word came */
+  bool version_doubted;     /* it refused these weights and named no others */
+  uint64_t key;             /* of this life, among VMs */
+  int running;              /* our requests at it */
+  int reported_running;     /* requests it runs and holds, by its report */
+  int64_t reported_us;      /* when it said so; 0 for never */
+  int sent_since;           /* our sends since then, less our ends */
+  int failures;             /* in a row */
+  int64_t backoff_until_us; /* gets nothing until then, after failures */
+  int64_t full_until_us;    /* it refused for want of room: last choice */
+  int64_t requested_backoff_until_us; /* it wants nothing from this VM until
+                                         then */
+  int64_t reload_ordered_us; /* when its weights were ordered, 0 if not */
+  struct cold cold;          /* whether it bears but a low rate, and whose */
+  struct limit limit;        /* that it named for all VMs */
+  struct fleet_ewma first_chunk; /* for the first piece of its answers */
 };
 
 /* --- beliefs --------------------------------------------------------- */
@@ -198,17 +200,17 @@
 /* A weight version that was named. */
 struct fleet_named
 {
-  int64_t version;  /* its number */
-  int64_t heard_us; /* when this VM heard of it */
+  int64_t version;    /* its number */
+  int64_t learned_us; /* when this VM heard of it */
 };
 
-#define FLEET_FACTS_MAX 8     /* of one model */
-#define FLEET_NEVER INT64_MIN /* as a time: not known */
+#define FLEET_NAMING_BOUNDS_MAX 8 /* of one model */
+#define FLEET_NEVER INT64_MIN     /* as a time: not known */
 
 /* No version from VERSION on had been named at AT_US.  Named versions grow,
    and one may be named and replaced unseen: so nothing is said of a single
    one. */
-struct fleet_fact
+struct fleet_naming_bound
 {
   int64_t version; /* the lowest of them */
   int64_t at_us;   /* then */
@@ -221,12 +223,12 @@
   int64_t version;                           /* newest version named */
   struct fleet_named named[FLEET_NAMED_MAX]; /* the newest ones */
   int nnamed;                                /* entries in named */
-  struct fleet_fact facts[FLEET_FACTS_MAX];  /* by version */
-  int nfacts;                                /* entries in facts */
+  struct fleet_naming_bound bounds[FLEET_NAMING_BOUNDS_MAX]; /* by version */
+  int nbounds; /* entries in facts */
 };
 
 /* Regions that bind a request; both lists do, where there are two. */
-struct fleet_homes
+struct fleet_region_limits
 {
   const char *const *route;     /* of its route; NULL for all */
   const char *const *workspace; /* of who asks; NULL for all */
@@ -236,8 +238,9 @@
 struct fleet_evacuation
 {
   char domain[FLEET_NAME_SIZE]; /* its name */
-  int64_t missing_us; /* not in a whole list since, while that is doubted; or 0
-                       */
+  int64_t missing_since_us;     /* not in a whole list since, while that is
+                                 * doubted; or 0
+                                 */
 };
 
 struct fleet
@@ -245,60 +248,60 @@
   struct fleet_conf *conf; /* in force; NULL while none is known */
   int64_t conf_row;        /* change that brought it */
   APR_RING_HEAD (fleet_ring, fleet_endpoint) endpoints; /* all listed */
-  struct fleet_ring former; /* listed no more, oldest first: what they said of
-                               themselves binds if they are listed again */
-  int nformer;              /* entries in former */
-  GHashTable *by_id;        /* id to struct fleet_endpoint */
-  bool listed;              /* endpoints were listed once */
-  GArray *wanted;           /* struct fleet_wanted */
-  GArray *seen;             /* struct fleet_service_seen */
-  GArray *evacuated;        /* struct fleet_evacuation */
-  GHashTable *regions;      /* failure domain to its region */
-  int64_t fresh_us;         /* the configuration was current then; 0: never */
-  int64_t back_us;          /* the list could be read again since */
+  struct fleet_ring former;  /* listed no more, oldest first: what they said of
+                                themselves binds if they are listed again */
+  int nformer;               /* entries in former */
+  GHashTable *by_id;         /* id to struct fleet_endpoint */
+  bool listed;               /* endpoints were listed once */
+  GArray *wanted;            /* struct fleet_wanted */
+  GArray *service_stats;     /* struct fleet_service_stats */
+  GArray *evacuated;         /* struct fleet_evacuation */
+  GHashTable *regions;       /* failure domain to its region */
+  int64_t conf_current_us;   /* the configuration was current then; 0: never */
+  int64_t list_recovered_us; /* the list could be read again since */
   struct pick_factors factors; /* as set */
-  int64_t old_max_us; /* old weights take work this long after newer ones
-                         were named; 0 for ever */
-  int64_t old_end_us; /* and nothing begins on them after so long; 0: it does
-                         for ever */
+  int64_t outdated_accept_us;  /* old weights take work this long after newer
+                          ones  were named; 0 for ever */
+  int64_t outdated_start_us; /* and nothing begins on them after so long; 0: it
+                         does for ever */
   /* This VM's part of a cold endpoint's RATE; NULL if it knows no others. */
   int (*cold_part) (void *arg, uint64_t endpoint, int rate);
   /* Time between this VM's requests to an endpoint whose limit is MILLI; NULL
      if it knows no others. */
-  int64_t (*limit_gap) (void *arg, uint64_t endpoint, int64_t milli,
-                        int64_t now_us);
-  void *vms_arg; /* passed to both */
+  int64_t (*limit_interval_us) (void *arg, uint64_t endpoint, int64_t milli,
+                                int64_t now_us);
+  void *share_arg; /* passed to both */
 };
 
 void fleet_init (struct fleet *f);
 void fleet_clear (struct fleet *f);
 
 /* Take over a configuration read in change ROW; false if it is not newer. */
-bool fleet_take_conf (struct fleet *f, struct fleet_conf *c, int64_t row);
+bool fleet_apply_conf (struct fleet *f, struct fleet_conf *c, int64_t row);
 
 /* A named weight version; false if it is not newer.  Neither it nor a newer
    one was named before EARLY_US, 0 if that is not known. */
-bool fleet_take_wanted (struct fleet *f, const char *model, int64_t version,
-                        int64_t early_us, int64_t now_us);
+bool fleet_apply_wanted (struct fleet *f, const char *model, int64_t version,
+                         int64_t early_us, int64_t now_us);
 /* What was named of all models was the newest at AT_US. */
-void fleet_wanted_current (struct fleet *f, int64_t at_us);
+void fleet_confirm_wanted (struct fleet *f, int64_t at_us);
 /* No version of MODEL from VERSION on was named before AT_US. */
-void fleet_named_since (struct fleet *f, const char *model, int64_t version,
-                        int64_t at_us);
+void fleet_add_naming_bound (struct fleet *f, const char *model,
+                             int64_t version, int64_t at_us);
 /* The latest such moment that is known, or FLEET_NEVER. */
-int64_t fleet_not_before (const struct fleet *f, const char *model,
-                          int64_t version);
+int64_t fleet_earliest_naming_us (const struct fleet *f, const char *model,
+                                  int64_t version);
 /* When this VM first heard of VERSION or a newer one; FLEET_NEVER if not. */
-int64_t fleet_heard_from (const struct fleet *f, const char *model,
-                          int64_t version);
+int64_t fleet_version_learned_us (const struct fleet *f, const char *model,
+                                  int64_t version);
 /* When E's weights can have become outdated at the earliest, or FLEET_NEVER if
    that is not known. */
-int64_t fleet_outdated_since (const struct fleet *f,
-                              const struct fleet_endpoint *e);
+int64_t fleet_earliest_outdated_us (const struct fleet *f,
+                                    const struct fleet_endpoint *e);
 /* When this VM heard of the first version newer than E's; 0 if E's is the
    newest. */
-int64_t fleet_outdated_us (const struct fleet *f,
-                           const struct fleet_endpoint *e);
+int64_t fleet_outdated_learned_us (const struct fleet *f,
+                                   const struct fleet_endpoint *e);
 /* That version itself, or NULL. */
 const struct fleet_named *fleet_outdated_by (const struct fleet *f,
                                              const struct fleet_endpoint *e);
@@ -309,72 +312,74 @@
 bool fleet_needs_weights (const struct fleet *f,
                           const struct fleet_endpoint *e);
 /* Whether E's weights were outdated LIMIT_US ago, or may have been. */
-bool fleet_outdated_for (const struct fleet *f, const struct fleet_endpoint *e,
-                         int64_t limit_us, int64_t now_us);
+bool fleet_is_outdated_for (const struct fleet *f,
+                            const struct fleet_endpoint *e, int64_t limit_us,
+                            int64_t now_us);
 /* E said, on any channel, that it has VERSION; that was so at AT_US or later,
    FLEET_NEVER if it may have been long before. */
-void fleet_take_version (struct fleet_endpoint *e, int64_t version,
-                         int64_t at_us, int64_t now_us);
+void fleet_apply_version (struct fleet_endpoint *e, int64_t version,
+                          int64_t at_us, int64_t now_us);
 /* E refused to work on the weights that it is believed to have. */
 void fleet_doubt_version (struct fleet_endpoint *e);
 const struct fleet_wanted *fleet_wanted_of (const struct fleet *f,
                                             const char *model);
 
 /* How what somebody says of an endpoint stands to the life that is known. */
-enum fleet_life
+enum fleet_incarnation
 {
-  FLEET_LIFE_SAME,    /* that life */
-  FLEET_LIFE_YOUNGER, /* it started again since, or was not known */
-  FLEET_LIFE_OLDER,   /* news of a life that is over */
-  FLEET_LIFE_UNSAID   /* it says no start, though one is known */
+  FLEET_INCARNATION_SAME,   /* that life */
+  FLEET_INCARNATION_NEWER,  /* it started again since, or was not known */
+  FLEET_INCARNATION_OLDER,  /* news of a life that is over */
+  FLEET_INCARNATION_UNKNOWN /* it says no start, though one is known */
 };
 
 /* E may be NULL; BORN_MS is 0 if the news says no start. */
-enum fleet_life fleet_life_of (const struct fleet_endpoint *e,
-                               int64_t born_ms);
-const char *fleet_life_name (enum fleet_life life);
+enum fleet_incarnation
+fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t born_ms);
+const char *fleet_incarnation_name (enum fleet_incarnation life);
 
 /* An endpoint is listed, or listed in another way; what is said of an older
    life than the known one, or of no life, changes nothing.  Returns the life
    that is known then. */
-struct fleet_endpoint *fleet_take_listing (struct fleet *f,
-                                           const struct fleet_listing *l,
-                                           int64_t now_us);
+struct fleet_endpoint *fleet_apply_listing (struct fleet *f,
+                                            const struct fleet_listing *l,
+                                            int64_t now_us);
 /* E itself says that it started at BORN_MS, later than was known. */
-struct fleet_endpoint *fleet_take_birth (struct fleet *f,
-                                         struct fleet_endpoint *e,
-                                         int64_t born_ms, int64_t now_us);
+struct fleet_endpoint *fleet_apply_restart (struct fleet *f,
+                                            struct fleet_endpoint *e,
+                                            int64_t born_ms, int64_t now_us);
 
 /* An entry was removed, or is not in a whole list. */
-void fleet_take_missing (struct fleet *f, struct fleet_endpoint *e,
-                         int64_t now_us);
+void fleet_apply_missing (struct fleet *f, struct fleet_endpoint *e,
+                          int64_t now_us);
 
 /* Whether an entry that is missing counts as removed at once, not doubted. */
-bool fleet_missing_counts (const struct fleet *f, int64_t now_us);
+bool fleet_is_list_settled (const struct fleet *f, int64_t now_us);
 /* Drop the entries whose return has been waited for long enough. */
-void fleet_sweep (struct fleet *f, int64_t now_us);
+void fleet_remove_missing (struct fleet *f, int64_t now_us);
 
 /* Contact with the list of endpoints was lost until NOW_US. */
-void fleet_list_back (struct fleet *f, int64_t now_us);
+void fleet_list_recovered (struct fleet *f, int64_t now_us);
 
 struct fleet_endpoint *fleet_endpoint_ref (struct fleet_endpoint *e);
 void fleet_endpoint_unref (struct fleet_endpoint *e);
 
 /* Take over which region each failure domain is in, DOMAIN=REGION parted by
    spaces; false if a part says no such thing. */
-bool fleet_take_regions (struct fleet *f, const char *text);
+bool fleet_parse_regions (struct fleet *f, const char *text);
 /* Whether a request with HOMES may use what stands in DOMAIN.  The region of
    a domain that nobody named is no home. */
-bool fleet_is_home (const struct fleet *f, const struct fleet_homes *homes,
-                    const char *domain);
+bool fleet_is_region_allowed (const struct fleet *f,
+                              const struct fleet_region_limits *homes,
+                              const char *domain);
 /* Whether nothing may be sent to the endpoints of DOMAIN. */
 bool fleet_is_evacuated (const struct fleet *f, const char *domain);
 /* Work out this VM's part of the rate of each endpoint that is cold or named a
    limit. */
-void fleet_judge_rates (struct fleet *f, int64_t now_us);
+void fleet_refresh_rate_shares (struct fleet *f, int64_t now_us);
 
 /* Age of the knowledge of configuration; INT64_MAX if there is none. */
-int64_t fleet_age_us (const struct fleet *f, int64_t now_us);
+int64_t fleet_conf_age_us (const struct fleet *f, int64_t now_us);
 
 /* --- choice of an endpoint (pick.c) ---------------------------------- */
 
@@ -397,23 +402,24 @@
   const char *domain;   /* of this VM */
   const char *affinity; /* part of the prompt to find again, or NULL */
   const struct fleet_endpoint *exclude[PICK_EXCLUDE_MAX]; /* tried before */
-  int nexclude;                   /* entries in exclude */
-  struct fleet_homes homes;       /* regions that it may use */
-  uint64_t random;                /* breaks ties */
-  struct pick_work work;          /* zeros for a plain service */
-  const struct load_table *loads; /* work of all VMs, or NULL */
+  int nexclude;                     /* entries in exclude */
+  struct fleet_region_limits homes; /* regions that it may use */
+  uint64_t random;                  /* breaks ties */
+  struct pick_work work;            /* zeros for a plain service */
+  const struct load_table *loads;   /* work of all VMs, or NULL */
 };
 
 enum pick_code
 {
   PICK_CHOSEN,
-  PICK_NONE,     /* the service has no endpoint */
-  PICK_SPENT,    /* all were tried, or have weights that are too old */
-  PICK_COLD,     /* and some are cold, and have their rate of requests */
-  PICK_LIMITED,  /* and some named a limit, of which this VM's part is used */
-  PICK_RESTING,  /* and some asked this VM to send them nothing for a while */
-  PICK_ABROAD,   /* and some stand in no region that the request may use */
-  PICK_EVACUATED /* and some stand in a domain that is evacuated */
+  PICK_NO_ENDPOINT, /* the service has no endpoint */
+  PICK_ALL_TRIED,   /* all were tried, or have weights that are too old */
+  PICK_COLD,        /* and some are cold, and have their rate of requests */
+  PICK_LIMITED, /* and some named a limit, of which this VM's part is used */
+  PICK_BACKOFF, /* and some asked this VM to send them nothing for a while */
+  PICK_REGION_NOT_ALLOWED, /* and some stand in no region that the request may
+                              use */
+  PICK_EVACUATED           /* and some stand in a domain that is evacuated */
 };
 
 struct pick_choice
@@ -422,13 +428,14 @@
   struct fleet_endpoint *endpoint; /* chosen */
   int candidates;                  /* endpoints that could be chosen */
   int load;                        /* expected requests at the chosen one */
-  int64_t ahead;   /* tokens to be read there before the request's own */
-  int64_t held;    /* tokens of memory that are taken there */
-  bool has_part;   /* the last shared part is there, or being read */
-  int64_t wait_us; /* expected there for the first piece of an answer */
-  int over_bound;  /* endpoints passed over for load */
-  int64_t rest_us; /* until the first one has rested; with PICK_RESTING */
-  int64_t version; /* weights it is believed to have */
+  int64_t pending_prefill_tokens;  /* tokens to be read there before the
+                                      request's own */
+  int64_t kv_tokens;               /* tokens of memory that are taken there */
+  bool has_part;      /* the last shared part is there, or being read */
+  int64_t wait_us;    /* expected there for the first piece of an answer */
+  int over_bound;     /* endpoints passed over for load */
+  int64_t backoff_us; /* until the first one has rested; with PICK_RESTING */
+  int64_t version;    /* weights it is believed to have */
 };
 
 struct pick_choice pick_endpoint (const struct fleet *f,
@@ -436,38 +443,39 @@
 const char *pick_code_name (enum pick_code code);
 
 /* Whether E asked this VM to send it nothing now. */
-bool pick_rests (const struct fleet_endpoint *e, int64_t now_us);
+bool pick_is_backoff_requested (const struct fleet_endpoint *e,
+                                int64_t now_us);
 /* Requests expected at E now. */
 int pick_load (const struct fleet_endpoint *e, int64_t now_us);
 
 /* What an endpoint's answers say. */
-void pick_sent (struct fleet_endpoint *e);
-void pick_ended (struct fleet_endpoint *e);
-void pick_reported (struct fleet_endpoint *e, int running, int64_t now_us);
-void pick_worked (struct fleet_endpoint *e);
+void pick_request_sent (struct fleet_endpoint *e);
+void pick_request_ended (struct fleet_endpoint *e);
+void pick_load_reported (struct fleet_endpoint *e, int running,
+                         int64_t now_us);
+void pick_request_succeeded (struct fleet_endpoint *e);
 /* TOKENS, to be read for a prompt and before it, took WAIT_US until the first
    piece of its answer. */
-void pick_learn (struct fleet *f, const struct fleet_endpoint *e,
-                 int64_t tokens, int64_t wait_us);
+void pick_learn_prefill_rate (struct fleet *f, const struct fleet_endpoint *e,
+                              int64_t tokens, int64_t wait_us);
 /* Tokens that endpoints of the service read in a second, as learned. */
-int64_t pick_speed (const struct fleet *f, const char *service);
+int64_t pick_prefill_rate (const struct fleet *f, const char *service);
 /* The first piece of an answer came after WAIT_US, or had not come by then. */
-void pick_first (struct fleet *f, struct fleet_endpoint *e, int64_t wait_us,
-                 int64_t now_us);
+void pick_first_chunk (struct fleet *f, struct fleet_endpoint *e,
+                       int64_t wait_us, int64_t now_us);
 /* Expected wait for the first piece at E. */
-int64_t pick_wait (const struct fleet *f, const struct fleet_endpoint *e,
-                   int64_t now_us);
-void pick_failed (struct fleet_endpoint *e, int64_t now_us);
+int64_t pick_expected_wait_us (const struct fleet *f,
+                               const struct fleet_endpoint *e, int64_t now_us);
+void pick_request_failed (struct fleet_endpoint *e, int64_t now_us);
 /* Nothing listens at E's address. */
-void pick_absent (struct fleet_endpoint *e, int64_t now_us);
-void pick_refused (struct fleet_endpoint *e, int64_t now_us);
+void pick_connection_refused (struct fleet_endpoint *e, int64_t now_us);
+void pick_overload_refused (struct fleet_endpoint *e, int64_t now_us);
 
 /* Whether A changes weights before B: an order that all VMs know. */
 bool pick_reload_before (const struct fleet_endpoint *a,
                          const struct fleet_endpoint *b);
 
 /* Endpoints of MODEL that change weights at once: more as time runs out. */
-int pick_reload_width (const struct fleet *f, const char *model,
-                       int64_t now_us);
+int pick_reload_max (const struct fleet *f, const char *model, int64_t now_us);
 
 #endif
--- a/follow.c
+++ b/follow.c
@@ -128,7 +128,7 @@
   int64_t old = f->conf != NULL ? f->conf->version : 0;
   int64_t new = it->conf->version;
   guint routes = it->conf->routes->len;
-  bool taken = fleet_take_conf (f, it->conf, it->row);
+  bool taken = fleet_apply_conf (f, it->conf, it->row);
 
   log_event (LOG_LEVEL_INFO, "conf",
              "outcome=%s conf=%" G_GINT64_FORMAT " before=%" G_GINT64_FORMAT
@@ -173,7 +173,7 @@
   struct fleet *f = fl->opts.fleet;
   int64_t early = not_before (fl, it->row);
 
-  if (fleet_take_wanted (f, it->model, it->version, early, now_us))
+  if (fleet_apply_wanted (f, it->model, it->version, early, now_us))
     log_event (LOG_LEVEL_INFO, "weights_named",
                "model=%s version=%" G_GINT64_FORMAT " row=%" G_GINT64_FORMAT
                " known_without_us=%" G_GINT64_FORMAT,
@@ -185,34 +185,38 @@
    in the place of the next one's until that writes again. */
 static void
 log_other_life (const struct fleet_endpoint *e, const struct news_item *it,
-                enum fleet_life life)
+                enum fleet_incarnation life)
 {
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=passed_over reason=life_%s source=list "
              "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT
              " row=%" G_GINT64_FORMAT,
-             e->is.id, fleet_life_name (life), (gint64)it->listing.born_ms,
-             (gint64)e->is.born_ms, (gint64)it->row);
+             e->is.id, fleet_incarnation_name (life),
+             (gint64)it->listing.started_ms, (gint64)e->is.started_ms,
+             (gint64)it->row);
 }
 
 static void
 take_endpoint (struct fleet *f, const struct news_item *it, int64_t now_us)
 {
   struct fleet_endpoint *old = g_hash_table_lookup (f->by_id, it->listing.id);
-  enum fleet_life life = fleet_life_of (old, it->listing.born_ms);
-  bool again = old != NULL && life == FLEET_LIFE_YOUNGER;
+  enum fleet_incarnation life
+      = fleet_incarnation_compare (old, it->listing.started_ms);
+  bool again = old != NULL && life == FLEET_INCARNATION_NEWER;
   bool draining = old != NULL && old->draining;
   bool cold = old != NULL && !again && cold_is (&old->cold, now_us);
   int64_t version = old != NULL ? old->version : 0;
-  int64_t before = old != NULL ? old->is.born_ms : 0;
+  int64_t before = old != NULL ? old->is.started_ms : 0;
   struct fleet_endpoint *e;
 
-  if (old != NULL && (life == FLEET_LIFE_OLDER || life == FLEET_LIFE_UNSAID))
+  if (old != NULL
+      && (life == FLEET_INCARNATION_OLDER
+          || life == FLEET_INCARNATION_UNKNOWN))
     {
       log_other_life (old, it, life);
       return;
     }
-  e = fleet_take_listing (f, &it->listing, now_us);
+  e = fleet_apply_listing (f, &it->listing, now_us);
   if (old == NULL || again || draining != e->draining || version != e->version)
     log_event (LOG_LEVEL_INFO, "endpoint",
                "endpoint=%s outcome=%s%s service=%s address=%s domain=%s "
@@ -222,7 +226,7 @@
                e->is.id, again ? "started_again_" : "",
                e->draining ? "draining" : "ready", e->is.service,
                e->is.address, e->is.domain, (gint64)e->version,
-               (gint64)e->is.born_ms, (gint64)before, (gint64)it->row);
+               (gint64)e->is.started_ms, (gint64)before, (gint64)it->row);
   if (!cold && cold_is (&e->cold, now_us))
     log_event (LOG_LEVEL_INFO, "endpoint_cold",
                "endpoint=%s domain=%s left_us=%" G_GINT64_FORMAT
@@ -235,13 +239,13 @@
 take_removed (struct fleet *f, struct fleet_endpoint *e, const char *reason,
               int64_t now_us)
 {
-  bool counts = fleet_missing_counts (f, now_us);
+  bool counts = fleet_is_list_settled (f, now_us);
 
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s reason=%s service=%s running=%d",
              e->is.id, counts ? "removed" : "doubted", reason, e->is.service,
              e->running);
-  fleet_take_missing (f, e, now_us);
+  fleet_apply_missing (f, e, now_us);
 }
 
 /*
@@ -254,7 +258,7 @@
 {
   struct fleet_endpoint *e = g_hash_table_lookup (f->by_id, it->listing.id);
 
-  if (e != NULL && e->missing_us == 0)
+  if (e != NULL && e->missing_since_us == 0)
     take_removed (f, e, "spoiled", now_us);
 }
 
@@ -349,7 +353,7 @@
        e != APR_RING_SENTINEL (&f->endpoints, fleet_endpoint, link); e = next)
     {
       next = APR_RING_NEXT (e, link);
-      if (!is_in_news (n, e->is.id) && e->missing_us == 0)
+      if (!is_in_news (n, e->is.id) && e->missing_since_us == 0)
         take_removed (f, e, "not_listed", now_us);
     }
 }
@@ -426,8 +430,8 @@
     take_readmitted (f, n, now_us);
   if (s->source == FOLLOW_OPERATOR)
     {
-      f->fresh_us = at;
-      fleet_wanted_current (f, at);
+      f->conf_current_us = at;
+      fleet_confirm_wanted (f, at);
     }
   add_mark (s->follow, n->version, at);
   if (n->version > s->version || s->era != s->follow->era)
@@ -461,7 +465,7 @@
       met_add (MET_OLDER_COPIES, 1);
       f->nmarks = 0;
       f->opts.fleet->conf_row = 0;
-      fleet_list_back (f->opts.fleet, now_us);
+      fleet_list_recovered (f->opts.fleet, now_us);
       for (i = 0; i < FOLLOW_SOURCES; i++)
         f->streams[i].known = false;
     }
@@ -501,7 +505,7 @@
              "source=%s outcome=regained lost_us=%" G_GINT64_FORMAT,
              source_names[s->source], (gint64)(now_us - s->lost_us));
   if (s->source == FOLLOW_ENDPOINTS && now_us - s->lost_us > OUTAGE_US)
-    fleet_list_back (s->follow->opts.fleet, now_us);
+    fleet_list_recovered (s->follow->opts.fleet, now_us);
   s->lost_us = 0;
   s->pause_us = PAUSE_FIRST_US;
 }
@@ -612,7 +616,7 @@
 
   if (s->source == FOLLOW_ENDPOINTS)
     return ENDPOINTS_WAIT_US;
-  return follow_wait_us (o->current_us, fleet_age_us (o->fleet, now_us));
+  return follow_wait_us (o->current_us, fleet_conf_age_us (o->fleet, now_us));
 }
 
 static void
--- a/fresh.c
+++ b/fresh.c
@@ -8,49 +8,50 @@
 #define AGE_MAX_MS (UINT64_C (2) * 24 * 3600 * 1000)
 
 void
-fresh_said (struct fresh *f, uint64_t said, uint64_t have, uint64_t wanted,
-            int64_t at_us)
+fresh_confirm (struct fresh *f, uint64_t said, uint64_t have, uint64_t wanted,
+               int64_t at_us)
 {
   if (said < have || said < wanted)
     return;
   if (said > have)
     {
-      if (said < f->ahead || (said == f->ahead && at_us < f->ahead_us))
+      if (said < f->pending_revision
+          || (said == f->pending_revision && at_us < f->pending_us))
         return;
-      f->ahead = said;
-      f->ahead_us = at_us;
+      f->pending_revision = said;
+      f->pending_us = at_us;
     }
-  else if (!f->known || at_us > f->at_us)
+  else if (!f->is_confirmed || at_us > f->confirmed_us)
     {
-      f->known = true;
-      f->at_us = at_us;
+      f->is_confirmed = true;
+      f->confirmed_us = at_us;
     }
 }
 
 void
-fresh_reached (struct fresh *f, uint64_t have, uint64_t wanted)
+fresh_revision_applied (struct fresh *f, uint64_t have, uint64_t wanted)
 {
-  if (f->ahead != 0 && have >= f->ahead)
+  if (f->pending_revision != 0 && have >= f->pending_revision)
     {
-      fresh_said (f, f->ahead, have, wanted, f->ahead_us);
-      f->ahead = 0;
+      fresh_confirm (f, f->pending_revision, have, wanted, f->pending_us);
+      f->pending_revision = 0;
     }
 }
 
 bool
-fresh_over (const struct fresh *f, int64_t limit_us, int64_t now_us)
+fresh_is_expired (const struct fresh *f, int64_t limit_us, int64_t now_us)
 {
-  return !f->known || now_us - f->at_us > limit_us;
+  return !f->is_confirmed || now_us - f->confirmed_us > limit_us;
 }
 
 int64_t
 fresh_age_ms (const struct fresh *f, int64_t now_us)
 {
-  return f->known ? (now_us - f->at_us) / CQ_US_PER_MS + 1 : -1;
+  return f->is_confirmed ? (now_us - f->confirmed_us) / CQ_US_PER_MS + 1 : -1;
 }
 
 bool
-fresh_told (int64_t asked_us, uint64_t age_ms, int64_t *at_us)
+fresh_time_from_age (int64_t asked_us, uint64_t age_ms, int64_t *at_us)
 {
   if (age_ms > AGE_MAX_MS)
     return false;
--- a/fresh.h
+++ b/fresh.h
@@ -14,10 +14,10 @@
 /* What is known of it.  All zero: nothing is. */
 struct fresh
 {
-  bool known;       /* at_us counts */
-  int64_t at_us;    /* our revision was the newest then */
-  uint64_t ahead;   /* a newer revision that is not here yet, or 0 */
-  int64_t ahead_us; /* that was the newest then */
+  bool is_confirmed;         /* at_us counts */
+  int64_t confirmed_us;      /* our revision was the newest then */
+  uint64_t pending_revision; /* a newer revision that is not here yet, or 0 */
+  int64_t pending_us;        /* that was the newest then */
 };
 
 /*
@@ -26,14 +26,15 @@
  * from a source that lags, and confirms nothing; a newer one does when it is
  * in force here.
  */
-void fresh_said (struct fresh *f, uint64_t said, uint64_t have,
-                 uint64_t wanted, int64_t at_us);
+void fresh_confirm (struct fresh *f, uint64_t said, uint64_t have,
+                    uint64_t wanted, int64_t at_us);
 
 /* HAVE came into force here. */
-void fresh_reached (struct fresh *f, uint64_t have, uint64_t wanted);
+void fresh_revision_applied (struct fresh *f, uint64_t have, uint64_t wanted);
 
 /* Whether nothing was confirmed for LIMIT_US. */
-bool fresh_over (const struct fresh *f, int64_t limit_us, int64_t now_us);
+bool fresh_is_expired (const struct fresh *f, int64_t limit_us,
+                       int64_t now_us);
 
 /* The age in milliseconds to tell another VM, at least as great as it is; -1
    if nothing is known. */
@@ -44,6 +45,6 @@
  * an age of AGE_MS.  It told that after it was asked, so this is no later than
  * it was, however late the answer is handled.  False if the age is no use.
  */
-bool fresh_told (int64_t asked_us, uint64_t age_ms, int64_t *at_us);
+bool fresh_time_from_age (int64_t asked_us, uint64_t age_ms, int64_t *at_us);
 
 #endif
--- a/limit.c
+++ b/limit.c
@@ -25,29 +25,29 @@
  * than that; what is stricter counts at once.
  */
 bool
-limit_name (struct limit *l, int64_t milli, int64_t sent_us, int64_t now_us)
+limit_report (struct limit *l, int64_t milli, int64_t sent_us, int64_t now_us)
 {
-  bool changes = !l->named || milli < l->milli
-                 || (milli > l->milli && sent_us > l->heard_us);
+  bool changes = !l->active || milli < l->milli_rps
+                 || (milli > l->milli_rps && sent_us > l->reported_us);
 
-  if (!l->named)
+  if (!l->active)
     pace_sent (&l->pace, MAX (l->pace.sent_us, now_us));
   if (changes)
     {
-      l->milli = milli;
-      l->judged_us = 0;
+      l->milli_rps = milli;
+      l->interval_set_us = 0;
     }
-  l->named = true;
-  l->heard_us = now_us;
+  l->active = true;
+  l->reported_us = now_us;
   return changes;
 }
 
 bool
-limit_lift (struct limit *l, int64_t sent_us)
+limit_clear (struct limit *l, int64_t sent_us)
 {
-  if (!l->named || sent_us <= l->heard_us)
+  if (!l->active || sent_us <= l->reported_us)
     return false;
-  l->named = false;
+  l->active = false;
   return true;
 }
 
@@ -60,25 +60,25 @@
 }
 
 bool
-limit_takes_turns (int64_t milli, int vms)
+limit_is_rotated (int64_t milli, int vms)
 {
   return in_window (milli) < vms;
 }
 
 uint64_t
-limit_turn (int64_t clock_ms)
+limit_rotation (int64_t clock_ms)
 {
   return (uint64_t)(clock_ms / TURN_MS);
 }
 
 bool
-limit_is_between (int64_t clock_ms)
+limit_is_rotation_pause (int64_t clock_ms)
 {
   return clock_ms % TURN_MS < BETWEEN_MS;
 }
 
 int64_t
-limit_gap_us (int64_t milli, int vms, int rank)
+limit_interval_us (int64_t milli, int vms, int rank)
 {
   int64_t all = in_window (milli);
   int64_t part = all / vms + (rank < all % vms);
@@ -88,42 +88,45 @@
   if (all > 0 || rank > 0)
     return 0;
   /* Less than one in a window, so one VM sends, and seldom. */
-  return milli > 0
-             ? MIN (G_GINT64_CONSTANT (1000000000) / milli, LIMIT_LOOK_US)
-             : LIMIT_LOOK_US;
+  return milli > 0 ? MIN (G_GINT64_CONSTANT (1000000000) / milli,
+                          LIMIT_PROBE_INTERVAL_US)
+                   : LIMIT_PROBE_INTERVAL_US;
 }
 
 /* --- pace ------------------------------------------------------------ */
 
 bool
-limit_is_unjudged (const struct limit *l, int64_t now_us)
+limit_is_interval_stale (const struct limit *l, int64_t now_us)
 {
-  return l->named && (l->judged_us == 0 || now_us - l->judged_us >= JUDGE_US);
+  return l->active
+         && (l->interval_set_us == 0
+             || now_us - l->interval_set_us >= JUDGE_US);
 }
 
 void
-limit_judge (struct limit *l, int64_t gap_us, int64_t now_us)
+limit_set_interval (struct limit *l, int64_t gap_us, int64_t now_us)
 {
-  l->pace.gap_us = gap_us;
-  l->judged_us = now_us;
+  l->pace.interval_us = gap_us;
+  l->interval_set_us = now_us;
 }
 
 static bool
 is_judged (const struct limit *l, int64_t now_us)
 {
-  return l->judged_us != 0 && now_us - l->judged_us < JUDGED_MAX_US;
+  return l->interval_set_us != 0
+         && now_us - l->interval_set_us < JUDGED_MAX_US;
 }
 
 bool
 limit_may_place (const struct limit *l, int64_t now_us)
 {
-  return !l->named
+  return !l->active
          || (is_judged (l, now_us) && pace_may_place (&l->pace, now_us));
 }
 
 bool
 limit_may_send (const struct limit *l, int64_t now_us)
 {
-  return !l->named
+  return !l->active
          || (is_judged (l, now_us) && pace_may_send (&l->pace, now_us));
 }
--- a/limit.h
+++ b/limit.h
@@ -20,38 +20,38 @@
 
 /* Between two requests of a VM that has no part, or knows no other VMs: it
    must hear when the limit is lifted. */
-#define LIMIT_LOOK_US INT64_C (30000000)
+#define LIMIT_PROBE_INTERVAL_US INT64_C (30000000)
 
 /* The limit of an endpoint as this VM knows it; zeros if it named none. */
 struct limit
 {
-  bool named;        /* it stands */
-  int64_t milli;     /* requests in 1000 s, from all VMs together */
-  int64_t heard_us;  /* an answer named it last */
-  int64_t judged_us; /* the pace was set; 0 if it has to be set anew */
-  struct pace pace;  /* of this VM's requests */
+  bool active;             /* it stands */
+  int64_t milli_rps;       /* requests in 1000 s, from all VMs together */
+  int64_t reported_us;     /* an answer named it last */
+  int64_t interval_set_us; /* the pace was set; 0 if it has to be set anew */
+  struct pace pace;        /* of this VM's requests */
 };
 
 /* An answer to what was sent at SENT_US names a limit of MILLI; returns
    whether that changes anything. */
-bool limit_name (struct limit *l, int64_t milli, int64_t sent_us,
-                 int64_t now_us);
+bool limit_report (struct limit *l, int64_t milli, int64_t sent_us,
+                   int64_t now_us);
 /* An answer to what was sent at SENT_US names none; likewise. */
-bool limit_lift (struct limit *l, int64_t sent_us);
+bool limit_clear (struct limit *l, int64_t sent_us);
 
 /* Whether the VMs are so many that they take turns. */
-bool limit_takes_turns (int64_t milli, int vms);
+bool limit_is_rotated (int64_t milli, int vms);
 /* Number of the turn at CLOCK_MS of the platform's clock. */
-uint64_t limit_turn (int64_t clock_ms);
+uint64_t limit_rotation (int64_t clock_ms);
 /* Whether that is the time between two turns. */
-bool limit_is_between (int64_t clock_ms);
+bool limit_is_rotation_pause (int64_t clock_ms);
 /* Time between requests of the VM with rank RANK, from 0, of VMS; 0 if it has
    no part. */
-int64_t limit_gap_us (int64_t milli, int vms, int rank);
+int64_t limit_interval_us (int64_t milli, int vms, int rank);
 
 /* Whether the pace has to be worked out, for the first time or anew. */
-bool limit_is_unjudged (const struct limit *l, int64_t now_us);
-void limit_judge (struct limit *l, int64_t gap_us, int64_t now_us);
+bool limit_is_interval_stale (const struct limit *l, int64_t now_us);
+void limit_set_interval (struct limit *l, int64_t gap_us, int64_t now_us);
 /* Whether the limit lets this VM choose the endpoint now. */
 bool limit_may_place (const struct limit *l, int64_t now_us);
 /* Whether it lets it send there, at the last moment. */
--- a/load.c
+++ b/load.c
@@ -102,7 +102,7 @@
   p = g_new0 (struct part_there, 1);
   p->key = key;
   p->entries = 1;
-  p->tokens = e->shared_held;
+  p->tokens = e->shared_kv_tokens;
   g_hash_table_insert (t->parts, &p->key, p);
   return p->tokens;
 }
@@ -128,8 +128,9 @@
   struct at_endpoint *at = need_endpoint (t, e->endpoint);
 
   at->entries++;
-  at->sum.unread += e->unread + e->shared_unread;
-  at->sum.held += e->held + name_part (t, e);
+  at->sum.pending_prefill_tokens
+      += e->pending_prefill_tokens + e->shared_pending_prefill_tokens;
+  at->sum.kv_tokens += e->kv_tokens + name_part (t, e);
 }
 
 static void
@@ -137,8 +138,9 @@
 {
   struct at_endpoint *at = need_endpoint (t, e->endpoint);
 
-  at->sum.unread -= e->unread + e->shared_unread;
-  at->sum.held -= e->held + unname_part (t, e);
+  at->sum.pending_prefill_tokens
+      -= e->pending_prefill_tokens + e->shared_pending_prefill_tokens;
+  at->sum.kv_tokens -= e->kv_tokens + unname_part (t, e);
   if (--at->entries == 0)
     g_hash_table_remove (t->sums, &e->endpoint);
 }
@@ -150,7 +152,7 @@
 
   if (p->counts == counts)
     return;
-  for (i = 0; i < p->gossip.n; i++)
+  for (i = 0; i < p->gossip.nentries; i++)
     if (counts)
       add_entry (t, &p->gossip.entries[i]);
     else
@@ -162,11 +164,12 @@
 static bool
 is_newer (const struct load_gossip *w, const struct load_gossip *old)
 {
-  return w->life != old->life ? w->life > old->life : w->beat > old->beat;
+  return w->incarnation != old->incarnation ? w->incarnation > old->incarnation
+                                            : w->seq > old->seq;
 }
 
 bool
-load_take (struct load_table *t, const struct load_gossip *w, int64_t now_us)
+load_update (struct load_table *t, const struct load_gossip *w, int64_t now_us)
 {
   struct peer_load *p = g_hash_table_lookup (t->peers, w->vm);
 
@@ -226,8 +229,9 @@
 
   if (at == NULL)
     return sum;
-  sum.unread = at->sum.unread * t->all / t->some;
-  sum.held = at->sum.held * t->all / t->some;
+  sum.pending_prefill_tokens
+      = at->sum.pending_prefill_tokens * t->all / t->some;
+  sum.kv_tokens = at->sum.kv_tokens * t->all / t->some;
   return sum;
 }
 
@@ -240,7 +244,7 @@
 }
 
 int
-load_peers (const struct load_table *t)
+load_peer_count (const struct load_table *t)
 {
   return t->counting;
 }
--- a/load.h
+++ b/load.h
@@ -20,19 +20,20 @@
    prompts: that is read once, and takes memory once. */
 struct load_entry
 {
-  uint64_t endpoint;     /* key of its life */
-  uint64_t part;         /* digest of that part */
-  int64_t unread;        /* tokens of their own that are still to be read */
-  int64_t held;          /* tokens of memory that these take, or will */
-  int64_t shared_unread; /* the same of what they share */
-  int64_t shared_held;   /* likewise */
+  uint64_t endpoint;              /* key of its life */
+  uint64_t part;                  /* digest of that part */
+  int64_t pending_prefill_tokens; /* tokens of their own that are still to be
+                                     read */
+  int64_t kv_tokens; /* tokens of memory that these take, or will */
+  int64_t shared_pending_prefill_tokens; /* the same of what they share */
+  int64_t shared_kv_tokens;              /* likewise */
 };
 
 /* Work at an endpoint. */
 struct load_sum
 {
-  int64_t unread; /* tokens that are still to be read */
-  int64_t held;   /* tokens of memory that are taken, or will be */
+  int64_t pending_prefill_tokens; /* tokens that are still to be read */
+  int64_t kv_tokens; /* tokens of memory that are taken, or will be */
 };
 
 /* What a VM says of its own requests, whole: a lost word is made good by the
@@ -41,9 +42,9 @@
 {
   char vm[LOAD_VM_SIZE];     /* its name */
   char domain[LOAD_VM_SIZE]; /* its failure domain */
-  uint64_t life;             /* of that VM; grows */
-  uint64_t beat;             /* grows with each word of that life */
-  int n;                     /* entries below */
+  uint64_t incarnation;      /* of that VM; grows */
+  uint64_t seq;              /* grows with each word of that life */
+  int nentries;              /* entries below */
   struct load_entry entries[LOAD_ENTRIES_MAX]; /* see above */
 };
 
@@ -54,8 +55,8 @@
 
 /* Take a VM's word in the place of its last one; false if a newer one was
    heard before. */
-bool load_take (struct load_table *t, const struct load_gossip *w,
-                int64_t now_us);
+bool load_update (struct load_table *t, const struct load_gossip *w,
+                  int64_t now_us);
 /* Forget what VMs said that have been silent since. */
 void load_expire (struct load_table *t, int64_t now_us);
 /* Where only SOME of the ALL VMs of this failure domain speak to this one,
@@ -69,6 +70,6 @@
 bool load_has_part (const struct load_table *t, uint64_t endpoint,
                     uint64_t part);
 /* VMs whose words count now. */
-int load_peers (const struct load_table *t);
+int load_peer_count (const struct load_table *t);
 
 #endif
--- a/member.c
+++ b/member.c
@@ -176,7 +176,7 @@
   hear_words (m, &pong.ping);
   revision = pong.ping.self.revision;
   if (m->server->conf != NULL && pong.fresh != NULL
-      && fresh_told (asked_us, pong.fresh->age_ms, &at))
+      && fresh_time_from_age (asked_us, pong.fresh->age_ms, &at))
     conf_confirmed (m->server->conf, pong.fresh->revision, at);
   xdr_free ((xdrproc_t)xdr_peer_pong, &pong);
   return revision;
--- a/naming.c
+++ b/naming.c
@@ -22,8 +22,8 @@
 is_doubtful (const struct fleet *f, const struct fleet_endpoint *e,
              int64_t read_us)
 {
-  int64_t since = fleet_outdated_since (f, e);
-  int64_t heard = fleet_heard_from (f, e->is.model, e->version + 1);
+  int64_t since = fleet_earliest_outdated_us (f, e);
+  int64_t heard = fleet_version_learned_us (f, e->is.model, e->version + 1);
 
   return since == FLEET_NEVER
          || (heard - since > DOUBT_US && read_us < heard + RECORD_US);
@@ -51,8 +51,8 @@
   const struct lease_named *n;
 
   for (n = row->named; n < row->named + row->nnamed; n++)
-    fleet_named_since (f, n->model, n->version,
-                       lease_local_us (clock, n->since_ms));
+    fleet_add_naming_bound (f, n->model, n->version,
+                            lease_local_us (clock, n->since_ms));
 }
 
 /* What was named when this VM heard of it was not named later, whatever the
@@ -66,7 +66,7 @@
 
   for (n = row->named; n < row->named + row->nnamed; n++)
     {
-      heard = fleet_heard_from (f, n->model, n->version);
+      heard = fleet_version_learned_us (f, n->model, n->version);
       if (heard != FLEET_NEVER)
         n->since_ms = MIN (n->since_ms, lease_earliest_ms (clock, heard));
     }
@@ -84,7 +84,8 @@
   correct_row (f, clock, row);
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    since = is_outdated (f, e) ? fleet_outdated_since (f, e) : FLEET_NEVER;
+    since
+        = is_outdated (f, e) ? fleet_earliest_outdated_us (f, e) : FLEET_NEVER;
     if (since == FLEET_NEVER)
       continue;
     g_strlcpy (n.model, e->is.model, sizeof n.model);
--- a/notice.c
+++ b/notice.c
@@ -10,29 +10,30 @@
 
 static void
 take_limit (struct fleet_endpoint *e, const struct notice *n,
-            const struct notice_from *from, int64_t now_us)
+            const struct notice_origin *from, int64_t now_us)
 {
   struct limit before = e->limit;
   bool changed = false;
 
-  if (n->limit_said && n->limit_milli >= 0)
-    changed = limit_name (&e->limit, n->limit_milli, from->sent_us, now_us);
-  else if (!n->limit_said && from->whole)
-    changed = limit_lift (&e->limit, from->sent_us);
+  if (n->has_limit && n->limit_milli_rps >= 0)
+    changed
+        = limit_report (&e->limit, n->limit_milli_rps, from->sent_us, now_us);
+  else if (!n->has_limit && from->has_all_notices)
+    changed = limit_clear (&e->limit, from->sent_us);
   if (changed)
     log_event (LOG_LEVEL_INFO, "endpoint_limit",
                "endpoint=%s outcome=%s limit_milli=%" G_GINT64_FORMAT
                " before_milli=%" G_GINT64_FORMAT
                " source=%s sent_before_us=%" G_GINT64_FORMAT,
-               e->is.id, e->limit.named ? "named" : "lifted",
-               (gint64)(e->limit.named ? e->limit.milli : -1),
-               (gint64)(before.named ? before.milli : -1), from->source,
+               e->is.id, e->limit.active ? "named" : "lifted",
+               (gint64)(e->limit.active ? e->limit.milli_rps : -1),
+               (gint64)(before.active ? before.milli_rps : -1), from->source,
                (gint64)(now_us - from->sent_us));
 }
 
 static void
 take_leaving (struct fleet_endpoint *e, const struct notice *n,
-              const struct notice_from *from, int64_t now_us)
+              const struct notice_origin *from, int64_t now_us)
 {
   if (!n->leaving || e->draining)
     return;
@@ -47,23 +48,23 @@
 /* Answers overtake each other: the latest end counts. */
 static void
 take_rest (struct fleet_endpoint *e, const struct notice *n,
-           const struct notice_from *from, int64_t now_us)
+           const struct notice_origin *from, int64_t now_us)
 {
-  int64_t until = now_us + MIN (n->rest_us, REST_MAX_US);
+  int64_t until = now_us + MIN (n->backoff_us, REST_MAX_US);
 
-  if (n->rest_us <= 0 || until <= e->asked_rest_us)
+  if (n->backoff_us <= 0 || until <= e->requested_backoff_until_us)
     return;
-  e->asked_rest_us = until;
+  e->requested_backoff_until_us = until;
   log_event (LOG_LEVEL_INFO, "endpoint_rest",
              "endpoint=%s asked_us=%" G_GINT64_FORMAT
              " source=%s sent_before_us=%" G_GINT64_FORMAT,
-             e->is.id, (gint64)n->rest_us, from->source,
+             e->is.id, (gint64)n->backoff_us, from->source,
              (gint64)(now_us - from->sent_us));
 }
 
 void
-notice_take (struct fleet_endpoint *e, const struct notice *n,
-             const struct notice_from *from, int64_t now_us)
+notice_apply (struct fleet_endpoint *e, const struct notice *n,
+              const struct notice_origin *from, int64_t now_us)
 {
   take_limit (e, n, from, now_us);
   take_leaving (e, n, from, now_us);
--- a/notice.h
+++ b/notice.h
@@ -15,24 +15,24 @@
 /* The notices of one answer, decoded; zeros for none. */
 struct notice
 {
-  bool limit_said;     /* it names a limit, be it readable or not */
-  int64_t limit_milli; /* requests in 1000 s that it takes from all VMs, -1 if
-                          that cannot be read */
-  bool leaving;        /* it leaves */
-  int64_t rest_us; /* it turned the request away, and wants none from this VM
-                      for so long; 0 if unsaid */
+  bool has_limit;          /* it names a limit, be it readable or not */
+  int64_t limit_milli_rps; /* requests in 1000 s that it takes from all VMs, -1
+                          if that cannot be read */
+  bool leaving;            /* it leaves */
+  int64_t backoff_us; /* it turned the request away, and wants none from this
+                      VM for so long; 0 if unsaid */
 };
 
 /* Where notices come from. */
-struct notice_from
+struct notice_origin
 {
-  const char *source; /* for the log: what was asked */
-  int64_t sent_us;    /* when that was sent */
-  bool whole;         /* the answer would bear all notices that stand */
+  const char *source;   /* for the log: what was asked */
+  int64_t sent_us;      /* when that was sent */
+  bool has_all_notices; /* the answer would bear all notices that stand */
 };
 
 /* E says so in an answer. */
-void notice_take (struct fleet_endpoint *e, const struct notice *n,
-                  const struct notice_from *from, int64_t now_us);
+void notice_apply (struct fleet_endpoint *e, const struct notice *n,
+                   const struct notice_origin *from, int64_t now_us);
 
 #endif
--- a/orders.c
+++ b/orders.c
@@ -360,7 +360,7 @@
 static bool
 has_place (const struct orders *o, const char *model, int64_t now_us)
 {
-  return tasks_in_hand (o) < pick_reload_width (o->opts.fleet, model, now_us);
+  return tasks_in_hand (o) < pick_reload_max (o->opts.fleet, model, now_us);
 }
 
 /* Its order may be sent again.  One that held no place needs one for that: if
@@ -452,9 +452,9 @@
 take_notice (struct task *t, const struct notice *notice, const char *source,
              int64_t sent_us, int64_t now_us)
 {
-  struct notice_from from = { .source = source, .sent_us = sent_us };
+  struct notice_origin from = { .source = source, .sent_us = sent_us };
 
-  notice_take (t->endpoint, notice, &from, now_us);
+  notice_apply (t->endpoint, notice, &from, now_us);
 }
 
 static void
@@ -479,7 +479,7 @@
              (gint64)t->order.version, (gint64)t->order.seq,
              (gint64)t->order.fence);
   if (code == ORDER_HOLDS)
-    fleet_take_version (t->endpoint, t->order.version, t->since_us, now);
+    fleet_apply_version (t->endpoint, t->order.version, t->since_us, now);
   if (code == ORDER_REJECTED)
     task_set (t, TASK_SKIPPED, now);
   else
@@ -506,7 +506,7 @@
   t->order.runs_go_on = true;
   t->busy = true;
   t->unanswered = false;
-  t->endpoint->reload_us = now_us;
+  t->endpoint->reload_ordered_us = now_us;
   task_set (t, TASK_SENDING, now_us);
   o->opts.ops.order (o->opts.ops.ctx, t->endpoint, &t->order, may_send,
                      on_ordered, t);
@@ -524,18 +524,19 @@
 is_same_life (struct task *t, const struct endpoint_state *s, int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
-  enum fleet_life life = fleet_life_of (e, s->born_ms);
+  enum fleet_incarnation life = fleet_incarnation_compare (e, s->born_ms);
 
-  if (e->gone || life == FLEET_LIFE_SAME || life == FLEET_LIFE_UNSAID)
+  if (e->gone || life == FLEET_INCARNATION_SAME
+      || life == FLEET_INCARNATION_UNKNOWN)
     return !e->gone;
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s source=report born_ms=%" G_GINT64_FORMAT
              " before_ms=%" G_GINT64_FORMAT,
              e->is.id,
-             life == FLEET_LIFE_YOUNGER ? "started_again" : "passed_over",
-             (gint64)s->born_ms, (gint64)e->is.born_ms);
-  if (life == FLEET_LIFE_YOUNGER)
-    fleet_take_birth (t->orders->opts.fleet, e, s->born_ms, now_us);
+             life == FLEET_INCARNATION_NEWER ? "started_again" : "passed_over",
+             (gint64)s->born_ms, (gint64)e->is.started_ms);
+  if (life == FLEET_INCARNATION_NEWER)
+    fleet_apply_restart (t->orders->opts.fleet, e, s->born_ms, now_us);
   return false;
 }
 
@@ -547,14 +548,15 @@
 
   if (s->busy)
     return;
-  fleet_take_version (e, s->version, t->asked_us - STATE_OLD_US, now_us);
+  fleet_apply_version (e, s->version, t->asked_us - STATE_OLD_US, now_us);
   if (e->version == before)
     return;
-  log_event (LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
-             "endpoint=%s version=%" G_GINT64_FORMAT
-             " before=%" G_GINT64_FORMAT " took_us=%" G_GINT64_FORMAT,
-             e->is.id, (gint64)e->version, (gint64)before,
-             (gint64)(e->reload_us ? now_us - e->reload_us : 0));
+  log_event (
+      LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
+      "endpoint=%s version=%" G_GINT64_FORMAT " before=%" G_GINT64_FORMAT
+      " took_us=%" G_GINT64_FORMAT,
+      e->is.id, (gint64)e->version, (gint64)before,
+      (gint64)(e->reload_ordered_us ? now_us - e->reload_ordered_us : 0));
 }
 
 /* What the endpoint says decides: an order is sent only where none is being
--- a/pace.c
+++ b/pace.c
@@ -4,7 +4,8 @@
 static bool
 is_due (const struct pace *p, int64_t last_us, int64_t now_us)
 {
-  return p->gap_us > 0 && (last_us == 0 || now_us - last_us >= p->gap_us);
+  return p->interval_us > 0
+         && (last_us == 0 || now_us - last_us >= p->interval_us);
 }
 
 bool
@@ -14,7 +15,7 @@
 }
 
 void
-pace_place (struct pace *p, int64_t now_us)
+pace_placed (struct pace *p, int64_t now_us)
 {
   p->placed_us = now_us;
 }
--- a/partfeed.c
+++ b/partfeed.c
@@ -369,7 +369,7 @@
   int i;
 
   for (i = 0; i < w->nnamed; i++)
-    if (parts_may_free (w->named[i].heard_us, now_us))
+    if (parts_may_free (w->named[i].learned_us, now_us))
       version = w->named[i].version;
   return version;
 }
--- a/parts.c
+++ b/parts.c
@@ -151,10 +151,10 @@
     }
   if (sv->domain != NULL)
     g_strlcpy (s->domain, sv->domain, sizeof s->domain);
-  s->capacity = sv->memory_tokens;
+  s->capacity = sv->kv_capacity_tokens;
   s->link_mbit_s = sv->link_mbit_s;
   s->calls_max = sv->calls_max;
-  s->first_us = sv->first_us;
+  s->first_us = sv->transfer_latency_us;
   s->listed = true;
 }
 
@@ -172,7 +172,7 @@
   p->token_bytes = 0;
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&sv))
     {
-      p->token_bytes = MAX (p->token_bytes, sv->token_bytes);
+      p->token_bytes = MAX (p->token_bytes, sv->kv_token_bytes);
       if (sv->store_address != NULL)
         take_store (p, sv);
     }
@@ -259,7 +259,7 @@
 may_use (const struct parts_query *q, const struct parts_store *s)
 {
   return q == NULL || q->fleet == NULL
-         || fleet_is_home (q->fleet, &q->homes, s->domain);
+         || fleet_is_region_allowed (q->fleet, &q->homes, s->domain);
 }
 
 /* A store that holds the part whole; one in DOMAIN before others, since a
--- a/parts.h
+++ b/parts.h
@@ -119,7 +119,7 @@
   int64_t named_us;          /* not before that time; 0: not known */
   int64_t wait_us;           /* it may wait for so long before it begins */
   const struct fleet *fleet; /* knows regions; NULL: stores of all do */
-  struct fleet_homes homes;  /* regions that the request may use */
+  struct fleet_region_limits homes; /* regions that the request may use */
 };
 
 /* Tokens of the N parts in LIST that stores hold whole. */
--- a/pick.c
+++ b/pick.c
@@ -67,12 +67,12 @@
 {
   static const char *const names[] = {
     [PICK_CHOSEN] = "chosen",
-    [PICK_NONE] = "no_endpoint",
-    [PICK_SPENT] = "all_tried",
+    [PICK_NO_ENDPOINT] = "no_endpoint",
+    [PICK_ALL_TRIED] = "all_tried",
     [PICK_COLD] = "endpoints_cold",
     [PICK_LIMITED] = "endpoints_limited",
-    [PICK_RESTING] = "endpoints_resting",
-    [PICK_ABROAD] = "no_home",
+    [PICK_BACKOFF] = "endpoints_resting",
+    [PICK_REGION_NOT_ALLOWED] = "no_home",
     [PICK_EVACUATED] = "domain_evacuated",
   };
 
@@ -82,89 +82,89 @@
 /* --- what answers say ------------------------------------------------ */
 
 void
-pick_sent (struct fleet_endpoint *e)
+pick_request_sent (struct fleet_endpoint *e)
 {
   e->running++;
   e->sent_since++;
 }
 
 void
-pick_ended (struct fleet_endpoint *e)
+pick_request_ended (struct fleet_endpoint *e)
 {
   e->running--;
   e->sent_since--;
 }
 
 void
-pick_reported (struct fleet_endpoint *e, int running, int64_t now_us)
+pick_load_reported (struct fleet_endpoint *e, int running, int64_t now_us)
 {
-  e->reported = running;
+  e->reported_running = running;
   e->reported_us = now_us;
   e->sent_since = 0;
 }
 
 void
-pick_worked (struct fleet_endpoint *e)
+pick_request_succeeded (struct fleet_endpoint *e)
 {
   e->failures = 0;
-  e->rest_until_us = 0;
+  e->backoff_until_us = 0;
 }
 
-static struct fleet_service_seen *
+static struct fleet_service_stats *
 find_seen (const struct fleet *f, const char *service)
 {
-  struct fleet_service_seen *s;
+  struct fleet_service_stats *s;
   guint i;
 
-  for (i = 0; i < f->seen->len; i++)
+  for (i = 0; i < f->service_stats->len; i++)
     {
-      s = &g_array_index (f->seen, struct fleet_service_seen, i);
+      s = &g_array_index (f->service_stats, struct fleet_service_stats, i);
       if (strcmp (s->service, service) == 0)
         return s;
     }
   return NULL;
 }
 
-static struct fleet_service_seen *
+static struct fleet_service_stats *
 need_seen (struct fleet *f, const char *service)
 {
-  struct fleet_service_seen *s = find_seen (f, service);
-  struct fleet_service_seen new = { .first = { 0 } };
+  struct fleet_service_stats *s = find_seen (f, service);
+  struct fleet_service_stats new = { .first_chunk = { 0 } };
 
   if (s != NULL)
     return s;
   g_strlcpy (new.service, service, sizeof new.service);
-  g_array_append_val (f->seen, new);
+  g_array_append_val (f->service_stats, new);
   return find_seen (f, service);
 }
 
 static void
-observe (struct fleet_wait *w, int64_t wait_us, int weight, int64_t now_us)
+observe (struct fleet_ewma *w, int64_t wait_us, int weight, int64_t now_us)
 {
   w->smoothed_us += (wait_us - w->smoothed_us) / weight;
-  w->seen_us = now_us;
+  w->updated_us = now_us;
 }
 
 void
-pick_first (struct fleet *f, struct fleet_endpoint *e, int64_t wait_us,
-            int64_t now_us)
+pick_first_chunk (struct fleet *f, struct fleet_endpoint *e, int64_t wait_us,
+                  int64_t now_us)
 {
-  observe (&e->first, wait_us, FIRST_WEIGHT, now_us);
-  observe (&need_seen (f, e->is.service)->first, wait_us, SERVICE_WEIGHT,
+  observe (&e->first_chunk, wait_us, FIRST_WEIGHT, now_us);
+  observe (&need_seen (f, e->is.service)->first_chunk, wait_us, SERVICE_WEIGHT,
            now_us);
 }
 
 static int64_t
-speed_of (const struct fleet_service_seen *s)
+speed_of (const struct fleet_service_stats *s)
 {
-  if (s == NULL || s->read_us <= 0)
+  if (s == NULL || s->prefill_us <= 0)
     return SPEED_FIRST;
-  return CLAMP (s->read_tokens * CQ_US_PER_S / s->read_us, SPEED_MIN,
+  return CLAMP (s->prefill_tokens * CQ_US_PER_S / s->prefill_us, SPEED_MIN,
                 SPEED_MAX);
 }
 
 int64_t
-pick_speed (const struct fleet *f, const char *service)
+pick_prefill_rate (const struct fleet *f, const char *service)
 {
   return speed_of (find_seen (f, service));
 }
@@ -172,29 +172,29 @@
 /* Short prompts tell what an answer takes besides reading, long ones what
    reading takes beyond that. */
 void
-pick_learn (struct fleet *f, const struct fleet_endpoint *e, int64_t tokens,
-            int64_t wait_us)
+pick_learn_prefill_rate (struct fleet *f, const struct fleet_endpoint *e,
+                         int64_t tokens, int64_t wait_us)
 {
-  struct fleet_service_seen *s = need_seen (f, e->is.service);
+  struct fleet_service_stats *s = need_seen (f, e->is.service);
 
   if (tokens <= 0)
     return;
   if (tokens * CQ_US_PER_S / speed_of (s) < LEARN_US)
     {
-      s->base_us += (wait_us - s->base_us) / LEARN_WEIGHT;
+      s->short_prompt_us += (wait_us - s->short_prompt_us) / LEARN_WEIGHT;
       return;
     }
-  if (wait_us <= s->base_us)
+  if (wait_us <= s->short_prompt_us)
     return;
-  s->read_tokens += tokens - s->read_tokens / LEARN_WEIGHT;
-  s->read_us += wait_us - s->base_us - s->read_us / LEARN_WEIGHT;
+  s->prefill_tokens += tokens - s->prefill_tokens / LEARN_WEIGHT;
+  s->prefill_us += wait_us - s->short_prompt_us - s->prefill_us / LEARN_WEIGHT;
 }
 
 /* Without a word a wait is taken to come nearer to what is usual. */
 static int64_t
-settled (const struct fleet_wait *w, int64_t usual_us, int64_t now_us)
+settled (const struct fleet_ewma *w, int64_t usual_us, int64_t now_us)
 {
-  int64_t silent = now_us - w->seen_us;
+  int64_t silent = now_us - w->updated_us;
   int64_t off = w->smoothed_us - usual_us;
 
   for (; silent > FIRST_HALF_US && off != 0; silent -= FIRST_HALF_US)
@@ -210,17 +210,17 @@
  * would never be tried again.
  */
 int64_t
-pick_wait (const struct fleet *f, const struct fleet_endpoint *e,
-           int64_t now_us)
+pick_expected_wait_us (const struct fleet *f, const struct fleet_endpoint *e,
+                       int64_t now_us)
 {
-  const struct fleet_service_seen *s = find_seen (f, e->is.service);
-  int64_t usual = s != NULL ? settled (&s->first, 0, now_us) : 0;
+  const struct fleet_service_stats *s = find_seen (f, e->is.service);
+  int64_t usual = s != NULL ? settled (&s->first_chunk, 0, now_us) : 0;
 
-  return settled (&e->first, usual, now_us);
+  return settled (&e->first_chunk, usual, now_us);
 }
 
 void
-pick_failed (struct fleet_endpoint *e, int64_t now_us)
+pick_request_failed (struct fleet_endpoint *e, int64_t now_us)
 {
   int64_t rest = REST_FIRST_US;
   int i;
@@ -230,33 +230,33 @@
     return;
   for (i = FAILURES_MAX; i < e->failures && rest < REST_MAX_US; i++)
     rest *= 2;
-  e->rest_until_us = now_us + rest;
+  e->backoff_until_us = now_us + rest;
 }
 
 /* Other failures may be the request's own; this one is the endpoint's. */
 void
-pick_absent (struct fleet_endpoint *e, int64_t now_us)
+pick_connection_refused (struct fleet_endpoint *e, int64_t now_us)
 {
   e->failures = MAX (e->failures, FAILURES_MAX - 1);
-  pick_failed (e, now_us);
+  pick_request_failed (e, now_us);
 }
 
 void
-pick_refused (struct fleet_endpoint *e, int64_t now_us)
+pick_overload_refused (struct fleet_endpoint *e, int64_t now_us)
 {
   e->full_until_us = now_us + FULL_US;
 }
 
 bool
-pick_rests (const struct fleet_endpoint *e, int64_t now_us)
+pick_is_backoff_requested (const struct fleet_endpoint *e, int64_t now_us)
 {
-  return now_us < e->asked_rest_us;
+  return now_us < e->requested_backoff_until_us;
 }
 
 int
 pick_load (const struct fleet_endpoint *e, int64_t now_us)
 {
-  int load = e->reported + e->sent_since;
+  int load = e->reported_running + e->sent_since;
 
   if (e->reported_us == 0 || now_us - e->reported_us > REPORT_MAX_US)
     return e->running;
@@ -289,11 +289,12 @@
 static bool
 too_old (const struct fleet *f, const struct fleet_endpoint *e, int64_t now_us)
 {
-  return f->old_max_us > 0 && fleet_outdated_for (f, e, f->old_max_us, now_us);
+  return f->outdated_accept_us > 0
+         && fleet_is_outdated_for (f, e, f->outdated_accept_us, now_us);
 }
 
 int
-pick_reload_width (const struct fleet *f, const char *model, int64_t now_us)
+pick_reload_max (const struct fleet *f, const char *model, int64_t now_us)
 {
   const struct fleet_endpoint *e;
   bool late = false;
@@ -347,14 +348,15 @@
 {
   if (e->draining || excluded (q, e) || too_old (f, e, now_us)
       || is_cold (e, now_us) || !limit_may_place (&e->limit, now_us)
-      || pick_rests (e, now_us) || fleet_is_evacuated (f, e->is.domain)
-      || !fleet_is_home (f, &q->homes, e->is.domain))
+      || pick_is_backoff_requested (e, now_us)
+      || fleet_is_evacuated (f, e->is.domain)
+      || !fleet_is_region_allowed (f, &q->homes, e->is.domain))
     return TIER_NEVER;
-  if (now_us < e->rest_until_us)
+  if (now_us < e->backoff_until_us)
     return TIER_RESTING;
   if (now_us < e->full_until_us)
     return TIER_FULL;
-  return fleet_outdated_us (f, e) != 0 ? TIER_OLD : TIER_GOOD;
+  return fleet_outdated_learned_us (f, e) != 0 ? TIER_OLD : TIER_GOOD;
 }
 
 /* What is known of the endpoints of the service before one is chosen. */
@@ -393,12 +395,13 @@
     s.listed += !e->draining;
     s.cold += !e->draining && is_cold (e, now_us);
     s.limited += !e->draining && !limit_may_place (&e->limit, now_us);
-    if (!e->draining && pick_rests (e, now_us))
+    if (!e->draining && pick_is_backoff_requested (e, now_us))
       {
         s.resting++;
-        s.rested_us = MIN (s.rested_us, e->asked_rest_us);
+        s.rested_us = MIN (s.rested_us, e->requested_backoff_until_us);
       }
-    s.abroad += !e->draining && !fleet_is_home (f, &q->homes, e->is.domain);
+    s.abroad += !e->draining
+                && !fleet_is_region_allowed (f, &q->homes, e->is.domain);
     s.evacuated += !e->draining && fleet_is_evacuated (f, e->is.domain);
     tier = tier_of (f, q, e, now_us);
     if (tier == TIER_NEVER)
@@ -451,9 +454,9 @@
 static int64_t
 move_us (const struct fleet_service *sv, int64_t tokens, int64_t speed)
 {
-  if (sv == NULL || sv->token_bytes <= 0 || sv->link_mbit_s <= 0)
+  if (sv == NULL || sv->kv_token_bytes <= 0 || sv->link_mbit_s <= 0)
     return read_us (tokens, speed);
-  return tokens * sv->token_bytes * 8 / sv->link_mbit_s;
+  return tokens * sv->kv_token_bytes * 8 / sv->link_mbit_s;
 }
 
 static struct weighing
@@ -462,9 +465,9 @@
   const struct fleet_service *sv = service_of (f, q->service);
   struct weighing w = { .q = q, .factors = &f->factors };
 
-  w.speed = pick_speed (f, q->service);
+  w.speed = pick_prefill_rate (f, q->service);
   if (sv != NULL)
-    w.room = sv->memory_tokens * MEMORY_PERCENT / 100;
+    w.room = sv->kv_capacity_tokens * MEMORY_PERCENT / 100;
   w.parts_us = move_us (sv, q->work.stored, w.speed)
                + read_us (q->work.shared - q->work.stored, w.speed);
   return w;
@@ -495,10 +498,10 @@
   struct load_sum at = load_at (q->loads, e->key);
   bool has = load_has_part (q->loads, e->key, q->work.part);
   int64_t need = q->work.own + (has ? 0 : q->work.shared);
-  int64_t cost = read_us (at.unread, w->speed) * AHEAD_PERCENT / 100
-                 * w->factors->unread / 100;
+  int64_t cost = read_us (at.pending_prefill_tokens, w->speed) * AHEAD_PERCENT
+                 / 100 * w->factors->pending_prefill / 100;
 
-  cost += memory_us (w, at.held, need) * w->factors->memory / 100;
+  cost += memory_us (w, at.kv_tokens, need) * w->factors->memory / 100;
   if (!home && !has)
     cost += w->parts_us * w->factors->parts / 100;
   if (load_is_partial (q->loads) && strcmp (e->is.domain, q->domain) != 0)
@@ -606,23 +609,23 @@
 why_none (const struct survey *s)
 {
   if (s->listed == 0)
-    return PICK_NONE;
+    return PICK_NO_ENDPOINT;
   if (s->cold > 0)
     return PICK_COLD;
   if (s->limited > 0)
     return PICK_LIMITED;
   if (s->resting > 0)
-    return PICK_RESTING;
+    return PICK_BACKOFF;
   if (s->evacuated > 0)
     return PICK_EVACUATED;
-  return s->abroad > 0 ? PICK_ABROAD : PICK_SPENT;
+  return s->abroad > 0 ? PICK_REGION_NOT_ALLOWED : PICK_ALL_TRIED;
 }
 
 struct pick_choice
 pick_endpoint (const struct fleet *f, const struct pick_query *q,
                int64_t now_us)
 {
-  struct pick_choice c = { .code = PICK_NONE };
+  struct pick_choice c = { .code = PICK_NO_ENDPOINT };
   struct survey s = look (f, q, now_us);
   struct load_sum at;
 
@@ -630,7 +633,7 @@
   if (s.count == 0)
     {
       c.code = why_none (&s);
-      c.rest_us = c.code == PICK_RESTING ? s.rested_us - now_us : 0;
+      c.backoff_us = c.code == PICK_BACKOFF ? s.rested_us - now_us : 0;
       return c;
     }
   if (q->affinity != NULL)
@@ -640,10 +643,10 @@
   c.code = PICK_CHOSEN;
   c.load = pick_load (c.endpoint, now_us);
   at = load_at (q->loads, c.endpoint->key);
-  c.ahead = at.unread;
-  c.held = at.held;
+  c.pending_prefill_tokens = at.pending_prefill_tokens;
+  c.kv_tokens = at.kv_tokens;
   c.has_part = load_has_part (q->loads, c.endpoint->key, q->work.part);
-  c.wait_us = pick_wait (f, c.endpoint, now_us);
+  c.wait_us = pick_expected_wait_us (f, c.endpoint, now_us);
   c.version = c.endpoint->version;
   return c;
 }
--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -96,7 +96,7 @@
     }
   if (pdecode_endpoint ("id", data, size, &listing) == NULL
       && (listing.address[0] == '\0' || listing.service[0] == '\0'
-          || listing.slots <= 0 || listing.born_ms < 0))
+          || listing.slots <= 0 || listing.started_ms < 0))
     g_error ("an endpoint without an address");
   if (pdecode_wanted (data, size, model, sizeof model, &version)
       && version <= 0)
@@ -481,15 +481,16 @@
 {
   g_autoptr (GArray) list
       = g_array_new (FALSE, TRUE, sizeof (struct roster_row));
-  struct load_gossip w = { .n = 0 };
+  struct load_gossip w = { .nentries = 0 };
   int i;
 
   if (tell_decode (data, size, &w))
     {
-      if (w.n < 0 || w.n > LOAD_ENTRIES_MAX)
+      if (w.nentries < 0 || w.nentries > LOAD_ENTRIES_MAX)
         g_error ("more entries than there is room for");
-      for (i = 0; i < w.n; i++)
-        if (w.entries[i].unread < 0 || w.entries[i].held < 0)
+      for (i = 0; i < w.nentries; i++)
+        if (w.entries[i].pending_prefill_tokens < 0
+            || w.entries[i].kv_tokens < 0)
           g_error ("work that is less than none");
     }
   pdecode_roster (data, size, list);
--- a/regress/modelkeys.c
+++ b/regress/modelkeys.c
@@ -74,7 +74,7 @@
   g_hash_table_insert (c->keys, g_strdup ("k1"), &holder);
   if (!revoked)
     g_hash_table_insert (c->keys, g_strdup ("k2"), &holder);
-  fleet_conf_seal (c);
+  fleet_conf_build_index (c);
   return c;
 }
 
@@ -259,7 +259,7 @@
   struct vm *v = arg;
 
   if (world_is_off (OFF_GIVEN))
-    v->fleet.fresh_us = now_us;
+    v->fleet.conf_current_us = now_us;
 }
 
 static void
--- a/regress/modellives.c
+++ b/regress/modellives.c
@@ -84,8 +84,8 @@
     i = f->is.id[0] - '0';
     if (f->version != world.endpoints[i].version || f->version_doubted)
       model_fail ("weights are believed that are not there", f->version);
-    if (f->is.born_ms != world.endpoints[i].born_ms)
-      model_fail ("a life is not heard of", f->is.born_ms);
+    if (f->is.started_ms != world.endpoints[i].born_ms)
+      model_fail ("a life is not heard of", f->is.started_ms);
   }
 }
 
--- a/regress/modelnamed.c
+++ b/regress/modelnamed.c
@@ -43,11 +43,11 @@
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
   int64_t end = named_us + OLD_MAX_US + SLACK_US;
 
-  if (n != NULL && !fleet_outdated_for (&v->fleet, e, OLD_MAX_US, end))
+  if (n != NULL && !fleet_is_outdated_for (&v->fleet, e, OLD_MAX_US, end))
     model_fail ("old weights too late",
-                (fleet_outdated_since (&v->fleet, e) - named_us) / MS);
+                (fleet_earliest_outdated_us (&v->fleet, e) - named_us) / MS);
   else if (n == NULL && world.now_us > end
-           && fleet_age_us (&v->fleet, world.now_us) <= STALE_US)
+           && fleet_conf_age_us (&v->fleet, world.now_us) <= STALE_US)
     model_fail ("a naming is not heard", (world.now_us - named_us) / MS);
 }
 
@@ -56,7 +56,7 @@
 check_newest (const struct vm *v)
 {
   const struct world_naming *last = &world.namings[world.nnamings - 1];
-  int64_t since = fleet_not_before (&v->fleet, "m", last->version);
+  int64_t since = fleet_earliest_naming_us (&v->fleet, "m", last->version);
 
   if (since > last->at_us + SLACK_US)
     model_fail ("a naming is taken for later", (since - last->at_us) / MS);
@@ -67,13 +67,13 @@
 {
   const struct fleet_endpoint *e = some_endpoint (v);
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
-  int64_t since = fleet_outdated_since (&v->fleet, e);
+  int64_t since = fleet_earliest_outdated_us (&v->fleet, e);
   int64_t soon = named_us + OLD_MAX_US - EARLY_MAX_US;
 
   if (n == NULL || v->began_us > named_us - SETTLED_US
-      || n->heard_us > named_us + CQ_US_PER_S)
+      || n->learned_us > named_us + CQ_US_PER_S)
     return;
-  if (fleet_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
+  if (fleet_is_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
     model_fail ("old weights given up too early",
                 since != FLEET_NEVER ? (named_us - since) / MS : 0);
 }
@@ -88,7 +88,7 @@
   int64_t known_us = MAX (v->began_us, named_us) + KNOWN_US;
 
   if (world.now_us >= known_us && fleet_outdated_by (&v->fleet, e) != NULL
-      && fleet_outdated_since (&v->fleet, e) == FLEET_NEVER)
+      && fleet_earliest_outdated_us (&v->fleet, e) == FLEET_NEVER)
     model_fail ("since when is not known", (world.now_us - known_us) / MS);
 }
 
@@ -116,9 +116,9 @@
   if (n == NULL || n->version == 1)
     return;
   if (world_is_off (OFF_SINCE))
-    fleet_named_since (&v->fleet, "m", n->version, n->heard_us);
-  if (world_is_off (OFF_MARKS) && n->heard_us == world.now_us)
-    w->nfacts = 0;
+    fleet_add_naming_bound (&v->fleet, "m", n->version, n->learned_us);
+  if (world_is_off (OFF_MARKS) && n->learned_us == world.now_us)
+    w->nbounds = 0;
 }
 
 static void
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -258,7 +258,7 @@
   l->id[0] = (char)('0' + endpoint);
   g_strlcpy (l->model, "m", sizeof l->model);
   l->version = world.endpoints[endpoint].version;
-  l->born_ms = world.endpoints[endpoint].born_ms;
+  l->started_ms = world.endpoints[endpoint].born_ms;
   l->slots = 4;
 }
 
@@ -271,7 +271,7 @@
   for (i = 0; i < world.nendpoints; i++)
     {
       world_list (i, &l);
-      fleet_take_listing (&v->fleet, &l, world.now_us);
+      fleet_apply_listing (&v->fleet, &l, world.now_us);
     }
 }
 
@@ -331,7 +331,7 @@
   if (world.nnamings == 0)
     return;
   n = &world.namings[world.nnamings - 1];
-  fleet_take_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
+  fleet_apply_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
   orders_look (v->orders, world.now_us);
 }
 
@@ -450,7 +450,7 @@
   char id[2] = { (char)('0' + e->endpoint), '\0' };
   struct fleet_endpoint *f = g_hash_table_lookup (v->fleet.by_id, id);
 
-  fleet_take_version (f, e->is.version, FLEET_NEVER, world.now_us);
+  fleet_apply_version (f, e->is.version, FLEET_NEVER, world.now_us);
   orders_look (v->orders, world.now_us);
 }
 
@@ -535,7 +535,7 @@
   struct fleet_listing l = { .slots = 0 };
 
   world_list (e->endpoint, &l);
-  fleet_take_listing (&v->fleet, &l, world.now_us);
+  fleet_apply_listing (&v->fleet, &l, world.now_us);
   orders_look (v->orders, world.now_us);
 }
 
--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -183,7 +183,7 @@
   w->isolated = true;
   g_ptr_array_add (c->workspaces, w);
   g_hash_table_insert (c->keys, g_strdup (key), w);
-  fleet_conf_seal (c);
+  fleet_conf_build_index (c);
   return c;
 }
 
@@ -201,7 +201,7 @@
   g_strlcpy (l.id, id, sizeof l.id);
   g_strlcpy (l.service, "s", sizeof l.service);
   g_strlcpy (l.model, "m", sizeof l.model);
-  fleet_take_listing (&p->fleet, &l, 1);
+  fleet_apply_listing (&p->fleet, &l, 1);
 }
 
 struct play *
@@ -214,9 +214,9 @@
 
   p->loop = loop_new ();
   fleet_init (&p->fleet);
-  fleet_take_conf (&p->fleet, play_conf (1, kind, "key"), 1);
+  fleet_apply_conf (&p->fleet, play_conf (1, kind, "key"), 1);
   p->fleet.listed = true;
-  p->fleet.fresh_us = loop_now_us ();
+  p->fleet.conf_current_us = loop_now_us ();
   play_add_endpoint (p, "a");
   play_add_endpoint (p, "b");
   o.loop = p->loop;
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -22,7 +22,7 @@
       {
         sum = 0;
         for (rank = 0; rank < vms; rank++)
-          sum += cold_part (rate, vms, rank);
+          sum += cold_share (rate, vms, rank);
         g_assert_cmpint (sum, <=, rate);
         g_assert_true (rate == 0 || 2 * sum >= rate);
       }
@@ -39,7 +39,7 @@
   int64_t now = CQ_US_PER_S;
   int i, n = 0;
 
-  cold_judge (&c, rate, now);
+  cold_set_share (&c, rate, now);
   for (i = 0; i < TRIES; i++, now += g_rand_int_range (rand, 0, 200000))
     {
       if (!pace_may_send (&c.pace, now))
@@ -94,8 +94,8 @@
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
 
   s->name = g_strdup ("s");
-  s->cold_us = 3 * CQ_US_PER_S;
-  s->cold_rate = 10;
+  s->cold_start_us = 3 * CQ_US_PER_S;
+  s->cold_requests_s = 10;
   g_hash_table_replace (p->fleet.conf->services, s->name, s);
 }
 
@@ -125,7 +125,7 @@
 static void
 test_cold_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
   play_start (p);
@@ -140,7 +140,7 @@
 static void
 test_all_cold (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
   cold_until (&play_endpoint (p, "a")->cold,
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -22,7 +22,7 @@
 static void
 test_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   put (p, "a", "east");
   put (p, "b", "west");
@@ -37,19 +37,19 @@
 static void
 test_ends_cold (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
   int64_t now = loop_now_us ();
   struct fleet_endpoint *a = put (p, "a", "east");
   struct fleet_endpoint *b = put (p, "b", "west");
 
   s->name = g_strdup ("s");
-  s->cold_us = 3 * CQ_US_PER_S;
+  s->cold_start_us = 3 * CQ_US_PER_S;
   g_hash_table_replace (p->fleet.conf->services, s->name, s);
   evac_begin (&p->fleet, "east", 2);
   evac_end (&p->fleet, "east", now);
-  g_assert_true (cold_is (&a->cold, now + s->cold_us - 1));
-  g_assert_false (cold_is (&a->cold, now + s->cold_us));
+  g_assert_true (cold_is (&a->cold, now + s->cold_start_us - 1));
+  g_assert_false (cold_is (&a->cold, now + s->cold_start_us));
   g_assert_false (cold_is (&b->cold, now));
   play_free (p);
 }
@@ -80,7 +80,7 @@
   fleet_init (&f);
   evac_begin (&f, "east", 2);
   evac_begin (&f, "west", 3);
-  fleet_list_back (&f, SETTLED_US);
+  fleet_list_recovered (&f, SETTLED_US);
   evac_missing (&f, "east", SETTLED_US + 1);
   evac_missing (&f, "west", SETTLED_US + 1);
   evac_sweep (&f, SETTLED_US + 2);
--- a/regress/test-fleet.c
+++ b/regress/test-fleet.c
@@ -19,7 +19,7 @@
   struct fleet_conf *c = fleet_conf_new ();
 
   c->version = version;
-  fleet_conf_seal (c);
+  fleet_conf_build_index (c);
   return c;
 }
 
@@ -40,7 +40,7 @@
 {
   struct fleet_listing l = listing (id, version);
 
-  return fleet_take_listing (f, &l, 1);
+  return fleet_apply_listing (f, &l, 1);
 }
 
 /* --- configuration --------------------------------------------------- */
@@ -56,12 +56,12 @@
   struct fleet f;
 
   fleet_init (&f);
-  g_assert_true (fleet_take_conf (&f, conf (5), 10));
-  g_assert_false (fleet_take_conf (&f, conf (4), 9));
-  g_assert_false (fleet_take_conf (&f, conf (4), 11));
-  g_assert_false (fleet_take_conf (&f, conf (6), 10));
+  g_assert_true (fleet_apply_conf (&f, conf (5), 10));
+  g_assert_false (fleet_apply_conf (&f, conf (4), 9));
+  g_assert_false (fleet_apply_conf (&f, conf (4), 11));
+  g_assert_false (fleet_apply_conf (&f, conf (6), 10));
   g_assert_cmpint (f.conf->version, ==, 5);
-  g_assert_true (fleet_take_conf (&f, conf (9), 12));
+  g_assert_true (fleet_apply_conf (&f, conf (9), 12));
   g_assert_cmpint (f.conf->version, ==, 9);
   fleet_clear (&f);
 }
@@ -105,7 +105,7 @@
       g_autofree char *p = random_path (r, g_rand_int_range (r, 0, 4));
       g_ptr_array_add (c->routes, route (hosts[i % 2], p));
     }
-  fleet_conf_seal (c);
+  fleet_conf_build_index (c);
   for (i = 0; i < 5000; i++)
     {
       const char *host = hosts[i % 2];
@@ -147,16 +147,16 @@
   fleet_init (&f);
   a = add (&f, "a", 1);
   b = add (&f, "b", 1);
-  fleet_list_back (&f, 10 * S);
-  fleet_take_missing (&f, a, 10 * S + 1);
-  fleet_take_missing (&f, b, 10 * S + 1);
-  fleet_sweep (&f, 11 * S);
+  fleet_list_recovered (&f, 10 * S);
+  fleet_apply_missing (&f, a, 10 * S + 1);
+  fleet_apply_missing (&f, b, 10 * S + 1);
+  fleet_remove_missing (&f, 11 * S);
   g_assert_nonnull (g_hash_table_lookup (f.by_id, "a"));
-  fleet_take_listing (&f, &l, 1);
-  fleet_sweep (&f, 13 * S);
+  fleet_apply_listing (&f, &l, 1);
+  fleet_remove_missing (&f, 13 * S);
   g_assert_nonnull (g_hash_table_lookup (f.by_id, "a"));
   g_assert_null (g_hash_table_lookup (f.by_id, "b"));
-  fleet_take_missing (&f, a, 20 * S);
+  fleet_apply_missing (&f, a, 20 * S);
   g_assert_null (g_hash_table_lookup (f.by_id, "a"));
   fleet_clear (&f);
 }
@@ -172,9 +172,9 @@
 
   fleet_init (&f);
   l.draining = true;
-  a = fleet_take_listing (&f, &l, 1);
+  a = fleet_apply_listing (&f, &l, 1);
   l.draining = false;
-  fleet_take_listing (&f, &l, 1);
+  fleet_apply_listing (&f, &l, 1);
   g_assert_true (a->draining);
   fleet_clear (&f);
 }
@@ -190,15 +190,15 @@
   fleet_init (&f);
   a = add (&f, "a", 1);
   b = add (&f, "b", 1);
-  g_assert_cmpint (fleet_outdated_us (&f, a), ==, 0);
-  g_assert_true (fleet_take_wanted (&f, "m", 2, 10 * S, 10 * S));
-  fleet_take_version (b, 2, FLEET_NEVER, S);
-  g_assert_true (fleet_take_wanted (&f, "m", 3, 14 * S, 14 * S));
-  g_assert_false (fleet_take_wanted (&f, "m", 2, 15 * S, 15 * S));
-  g_assert_cmpint (fleet_outdated_us (&f, a), ==, 10 * S);
-  g_assert_cmpint (fleet_outdated_us (&f, b), ==, 14 * S);
-  fleet_take_version (a, 3, FLEET_NEVER, S);
-  g_assert_cmpint (fleet_outdated_us (&f, a), ==, 0);
+  g_assert_cmpint (fleet_outdated_learned_us (&f, a), ==, 0);
+  g_assert_true (fleet_apply_wanted (&f, "m", 2, 10 * S, 10 * S));
+  fleet_apply_version (b, 2, FLEET_NEVER, S);
+  g_assert_true (fleet_apply_wanted (&f, "m", 3, 14 * S, 14 * S));
+  g_assert_false (fleet_apply_wanted (&f, "m", 2, 15 * S, 15 * S));
+  g_assert_cmpint (fleet_outdated_learned_us (&f, a), ==, 10 * S);
+  g_assert_cmpint (fleet_outdated_learned_us (&f, b), ==, 14 * S);
+  fleet_apply_version (a, 3, FLEET_NEVER, S);
+  g_assert_cmpint (fleet_outdated_learned_us (&f, a), ==, 0);
   fleet_clear (&f);
 }
 
@@ -249,7 +249,7 @@
       g_assert_cmpint (c.code, ==, PICK_CHOSEN);
       if (i < 3)
         g_assert_true (c.endpoint == first.endpoint);
-      pick_sent (c.endpoint);
+      pick_request_sent (c.endpoint);
     }
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   g_assert_cmpint (e->running, <=, 100 * 200 / 100 + 4);
@@ -273,18 +273,18 @@
   int i, n = 0;
 
   nine (&f);
-  fleet_take_wanted (&f, "m", 2, S, S);
+  fleet_apply_wanted (&f, "m", 2, S, S);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     if (n++ < 2)
-      fleet_take_version (e, 2, FLEET_NEVER, S);
+      fleet_apply_version (e, 2, FLEET_NEVER, S);
   }
   for (i = 0; i < 900; i++)
     {
       g_snprintf (part, sizeof part, "p%d", i);
       q = query (part);
       c = pick_endpoint (&f, &q, S + (i < 450 ? 1 : 4 * S));
-      pick_sent (c.endpoint);
+      pick_request_sent (c.endpoint);
     }
   /* A ninth each, more or less. */
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
@@ -311,7 +311,7 @@
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     if (n++ < 2)
-      fleet_take_version (e, 2, FLEET_NEVER, S);
+      fleet_apply_version (e, 2, FLEET_NEVER, S);
   }
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
@@ -341,19 +341,20 @@
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     for (i = 0; n < 2 && i < 20; i++)
-      pick_first (&f, e, S, 10 * S);
+      pick_first_chunk (&f, e, S, 10 * S);
     n++;
   }
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
-    g_assert_cmpint (pick_wait (&f, e, 10 * S + 10 * MS), >, 900 * MS);
-    g_assert_cmpint (pick_wait (&f, e, 30 * S), <, 10 * MS);
+    g_assert_cmpint (pick_expected_wait_us (&f, e, 10 * S + 10 * MS), >,
+                     900 * MS);
+    g_assert_cmpint (pick_expected_wait_us (&f, e, 30 * S), <, 10 * MS);
   }
   /* Its own last word goes before that of the others. */
   e = APR_RING_LAST (&f.endpoints);
   for (i = 0; i < 20; i++)
-    pick_first (&f, e, 100 * MS, 11 * S);
-  g_assert_cmpint (pick_wait (&f, e, 11 * S), <, 200 * MS);
+    pick_first_chunk (&f, e, 100 * MS, 11 * S);
+  g_assert_cmpint (pick_expected_wait_us (&f, e, 11 * S), <, 200 * MS);
   fleet_clear (&f);
 }
 
@@ -367,16 +368,16 @@
   int i;
 
   nine (&f);
-  f.old_max_us = 9 * S;
-  g_assert_cmpint (pick_reload_width (&f, "m", S), ==, 2);
+  f.outdated_accept_us = 9 * S;
+  g_assert_cmpint (pick_reload_max (&f, "m", S), ==, 2);
   for (i = ENDPOINTS; i < 100; i++)
     {
       g_snprintf (id, sizeof id, "e%d", i);
       add (&f, id, 1);
     }
-  fleet_take_wanted (&f, "m", 2, S, S);
-  g_assert_cmpint (pick_reload_width (&f, "m", 2 * S), ==, 20);
-  g_assert_cmpint (pick_reload_width (&f, "m", 11 * S), ==, 40);
+  fleet_apply_wanted (&f, "m", 2, S, S);
+  g_assert_cmpint (pick_reload_max (&f, "m", 2 * S), ==, 20);
+  g_assert_cmpint (pick_reload_max (&f, "m", 11 * S), ==, 40);
   fleet_clear (&f);
 }
 
@@ -388,10 +389,10 @@
   struct pick_query q = query (NULL);
 
   nine (&f);
-  f.old_max_us = 9 * S;
-  fleet_take_wanted (&f, "m", 2, S, S);
+  f.outdated_accept_us = 9 * S;
+  fleet_apply_wanted (&f, "m", 2, S, S);
   g_assert_cmpint (pick_endpoint (&f, &q, 9 * S).code, ==, PICK_CHOSEN);
-  g_assert_cmpint (pick_endpoint (&f, &q, 10 * S).code, ==, PICK_SPENT);
+  g_assert_cmpint (pick_endpoint (&f, &q, 10 * S).code, ==, PICK_ALL_TRIED);
   fleet_clear (&f);
 }
 
@@ -405,14 +406,14 @@
 
   nine (&f);
   e = APR_RING_FIRST (&f.endpoints);
-  pick_failed (e, S);
-  g_assert_cmpint (e->rest_until_us, <=, S);
-  pick_failed (e, S);
-  g_assert_cmpint (e->rest_until_us, ==, S + 300 * MS);
-  pick_failed (e, 2 * S);
-  g_assert_cmpint (e->rest_until_us, ==, 2 * S + 600 * MS);
-  pick_worked (e);
-  g_assert_cmpint (e->rest_until_us, ==, 0);
+  pick_request_failed (e, S);
+  g_assert_cmpint (e->backoff_until_us, <=, S);
+  pick_request_failed (e, S);
+  g_assert_cmpint (e->backoff_until_us, ==, S + 300 * MS);
+  pick_request_failed (e, 2 * S);
+  g_assert_cmpint (e->backoff_until_us, ==, 2 * S + 600 * MS);
+  pick_request_succeeded (e);
+  g_assert_cmpint (e->backoff_until_us, ==, 0);
   fleet_clear (&f);
 }
 
@@ -428,11 +429,11 @@
   nine (&f);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
-    pick_failed (e, S);
-    pick_failed (e, S);
+    pick_request_failed (e, S);
+    pick_request_failed (e, S);
   }
   g_assert_cmpint (pick_endpoint (&f, &q, S + 1).code, ==, PICK_CHOSEN);
-  pick_worked (APR_RING_LAST (&f.endpoints));
+  pick_request_succeeded (APR_RING_LAST (&f.endpoints));
   g_assert_true (pick_endpoint (&f, &q, S + 1).endpoint
                  == APR_RING_LAST (&f.endpoints));
   fleet_clear (&f);
@@ -498,11 +499,11 @@
   fleet_init (&f);
   g_strlcpy (l.id, "e", sizeof l.id);
   g_strlcpy (l.model, "m", sizeof l.model);
-  e = fleet_take_listing (&f, &l, 1);
-  fleet_take_wanted (&f, "m", 2, 0, 1000000);
-  fleet_named_since (&f, "m", 2, -2000000);
-  g_assert_false (fleet_outdated_for (&f, e, 9000000, 1100000));
-  g_assert_true (fleet_outdated_for (&f, e, 9000000, 7100000));
+  e = fleet_apply_listing (&f, &l, 1);
+  fleet_apply_wanted (&f, "m", 2, 0, 1000000);
+  fleet_add_naming_bound (&f, "m", 2, -2000000);
+  g_assert_false (fleet_is_outdated_for (&f, e, 9000000, 1100000));
+  g_assert_true (fleet_is_outdated_for (&f, e, 9000000, 7100000));
   fleet_clear (&f);
 }
 
--- a/regress/test-follow.c
+++ b/regress/test-follow.c
@@ -202,19 +202,19 @@
   /* Given 20 ms after the first answer, and 10 ms or more on its way. */
   p->store_ms = 50020;
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, >=, before + 19 * MS);
-  g_assert_cmpint (p->fleet.fresh_us, <=, polled_at + 20 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, >=, before + 19 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, polled_at + 20 * MS);
   /* The clock jumps forward by an hour. */
   answered_at = loop_now_us ();
   p->store_ms = 50020 + 3600000;
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, answered_at);
   /* And back. */
   g_usleep (10000);
   answered_at = loop_now_us ();
   p->store_ms = 50100;
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, answered_at);
   source_free (p);
 }
 
@@ -235,7 +235,7 @@
   p->store_ms = 50045;
   p->read_us = 40 * MS;
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, loop_now_us () - 40 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, loop_now_us () - 40 * MS);
   source_free (p);
 }
 
@@ -254,7 +254,7 @@
 static int64_t
 early_of (const struct source *p, int64_t version)
 {
-  return MAX (fleet_not_before (&p->fleet, "m", version), 0);
+  return MAX (fleet_earliest_naming_us (&p->fleet, "m", version), 0);
 }
 
 /*
@@ -306,7 +306,7 @@
 
   p->store_ms = loop_now_us () / MS;
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, naming_item (one, 3, 1));
-  read = p->fleet.fresh_us;
+  read = p->fleet.conf_current_us;
   tell (p, FOLLOW_OPERATOR, NEWS_SILENT, 0, NULL);
   /* Version 2 is named in change 25, and row 25 is overwritten by row 35. */
   g_usleep (40000);
@@ -330,11 +330,11 @@
 
   g_usleep (20000);
   tell (p, FOLLOW_OPERATOR, NEWS_OK, 10, NULL);
-  fresh = p->fleet.fresh_us;
+  fresh = p->fleet.conf_current_us;
   g_assert_cmpint (fresh, <=, before);
   g_assert_cmpint (fresh, >, 0);
   tell (p, FOLLOW_OPERATOR, NEWS_SILENT, 0, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, ==, fresh);
+  g_assert_cmpint (p->fleet.conf_current_us, ==, fresh);
   source_free (p);
 }
 
@@ -573,7 +573,7 @@
   tell (p, FOLLOW_ENDPOINTS, NEWS_OK, 20, endpoint_items (one, false));
   b = g_hash_table_lookup (p->fleet.by_id, "b");
   g_assert_nonnull (b);
-  g_assert_cmpint (b->missing_us, !=, 0);
+  g_assert_cmpint (b->missing_since_us, !=, 0);
   source_free (p);
 }
 
--- a/regress/test-fresh.c
+++ b/regress/test-fresh.c
@@ -16,9 +16,9 @@
 static void
 test_unknown (void)
 {
-  struct fresh f = { .known = false };
+  struct fresh f = { .is_confirmed = false };
 
-  g_assert_true (fresh_over (&f, LIMIT, 5 * S));
+  g_assert_true (fresh_is_expired (&f, LIMIT, 5 * S));
   g_assert_cmpint (fresh_age_ms (&f, 5 * S), ==, -1);
 }
 
@@ -30,18 +30,18 @@
 static void
 test_passed_on (void)
 {
-  struct fresh a = { .known = false };
-  struct fresh b = { .known = false };
+  struct fresh a = { .is_confirmed = false };
+  struct fresh b = { .is_confirmed = false };
   int64_t at = 0;
 
-  fresh_said (&a, 7, 7, 7, 100 * S);
-  g_assert_true (
-      fresh_told (109 * S, (uint64_t)fresh_age_ms (&a, 109 * S), &at));
+  fresh_confirm (&a, 7, 7, 7, 100 * S);
+  g_assert_true (fresh_time_from_age (
+      109 * S, (uint64_t)fresh_age_ms (&a, 109 * S), &at));
   g_assert_cmpint (at, <=, 100 * S);
   g_assert_cmpint (at, >=, 100 * S - 2 * CQ_US_PER_MS);
-  fresh_said (&b, 7, 7, 7, at);
-  g_assert_false (fresh_over (&b, LIMIT, 109 * S + S / 2));
-  g_assert_true (fresh_over (&b, LIMIT, 111 * S));
+  fresh_confirm (&b, 7, 7, 7, at);
+  g_assert_false (fresh_is_expired (&b, LIMIT, 109 * S + S / 2));
+  g_assert_true (fresh_is_expired (&b, LIMIT, 111 * S));
   g_assert_cmpint (fresh_age_ms (&b, 109 * S), >, 9000);
 }
 
@@ -49,12 +49,12 @@
 static void
 test_never_older (void)
 {
-  struct fresh f = { .known = false };
+  struct fresh f = { .is_confirmed = false };
 
-  fresh_said (&f, 7, 7, 7, 100 * S);
-  fresh_said (&f, 7, 7, 7, 50 * S);
-  g_assert_false (fresh_over (&f, LIMIT, 110 * S));
-  g_assert_true (fresh_over (&f, LIMIT, 110 * S + 1));
+  fresh_confirm (&f, 7, 7, 7, 100 * S);
+  fresh_confirm (&f, 7, 7, 7, 50 * S);
+  g_assert_false (fresh_is_expired (&f, LIMIT, 110 * S));
+  g_assert_true (fresh_is_expired (&f, LIMIT, 110 * S + 1));
 }
 
 /* A replica that lags, or a VM that is behind, shows an older revision than
@@ -62,11 +62,11 @@
 static void
 test_lagging (void)
 {
-  struct fresh f = { .known = false };
+  struct fresh f = { .is_confirmed = false };
 
-  fresh_said (&f, 6, 7, 7, 100 * S);
-  fresh_said (&f, 7, 7, 8, 100 * S);
-  g_assert_true (fresh_over (&f, LIMIT, 100 * S));
+  fresh_confirm (&f, 6, 7, 7, 100 * S);
+  fresh_confirm (&f, 7, 7, 8, 100 * S);
+  g_assert_true (fresh_is_expired (&f, LIMIT, 100 * S));
 }
 
 /* A revision that is not here yet confirms when it is, from when it was said;
@@ -74,18 +74,18 @@
 static void
 test_ahead (void)
 {
-  struct fresh f = { .known = false };
+  struct fresh f = { .is_confirmed = false };
 
-  fresh_said (&f, 8, 6, 6, 100 * S);
-  fresh_said (&f, 8, 6, 8, 90 * S);
-  fresh_reached (&f, 7, 8);
-  g_assert_true (fresh_over (&f, LIMIT, 101 * S));
-  fresh_reached (&f, 8, 8);
-  g_assert_false (fresh_over (&f, LIMIT, 110 * S));
-  g_assert_true (fresh_over (&f, LIMIT, 110 * S + 1));
-  fresh_said (&f, 9, 8, 8, 120 * S);
-  fresh_reached (&f, 9, 10);
-  g_assert_true (fresh_over (&f, LIMIT, 121 * S));
+  fresh_confirm (&f, 8, 6, 6, 100 * S);
+  fresh_confirm (&f, 8, 6, 8, 90 * S);
+  fresh_revision_applied (&f, 7, 8);
+  g_assert_true (fresh_is_expired (&f, LIMIT, 101 * S));
+  fresh_revision_applied (&f, 8, 8);
+  g_assert_false (fresh_is_expired (&f, LIMIT, 110 * S));
+  g_assert_true (fresh_is_expired (&f, LIMIT, 110 * S + 1));
+  fresh_confirm (&f, 9, 8, 8, 120 * S);
+  fresh_revision_applied (&f, 9, 10);
+  g_assert_true (fresh_is_expired (&f, LIMIT, 121 * S));
 }
 
 /* An age that no VM can mean. */
@@ -94,9 +94,9 @@
 {
   int64_t at = 0;
 
-  g_assert_false (fresh_told (100 * S, UINT64_MAX, &at));
-  g_assert_false (fresh_told (100 * S, INT64_MAX, &at));
-  g_assert_true (fresh_told (100 * S, 86400000, &at));
+  g_assert_false (fresh_time_from_age (100 * S, UINT64_MAX, &at));
+  g_assert_false (fresh_time_from_age (100 * S, INT64_MAX, &at));
+  g_assert_true (fresh_time_from_age (100 * S, 86400000, &at));
 }
 
 const struct unit fresh_units[] = { { "/fresh/unknown", test_unknown },
--- a/regress/test-headers.c
+++ b/regress/test-headers.c
@@ -310,7 +310,7 @@
       struct panswered a;
 
       answer (&a, lines, cases[i].status);
-      g_assert_cmpint (a.head.notice.rest_us, ==, cases[i].us);
+      g_assert_cmpint (a.head.notice.backoff_us, ==, cases[i].us);
       panswered_clear (&a);
     }
 }
@@ -346,8 +346,8 @@
       struct panswered a;
 
       answer (&a, lines, 200);
-      g_assert_true (a.head.notice.limit_said == cases[i].said);
-      g_assert_cmpint (a.head.notice.limit_milli, ==, cases[i].milli);
+      g_assert_true (a.head.notice.has_limit == cases[i].said);
+      g_assert_cmpint (a.head.notice.limit_milli_rps, ==, cases[i].milli);
       panswered_clear (&a);
     }
 }
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -17,7 +17,7 @@
 two_regions (void)
 {
   static const char *const domains[][2] = { { "a", "east" }, { "b", "west" } };
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
   size_t i;
 
@@ -26,7 +26,7 @@
       e = g_hash_table_lookup (p->fleet.by_id, domains[i][0]);
       g_strlcpy (e->is.domain, domains[i][1], sizeof e->is.domain);
     }
-  g_assert_true (fleet_take_regions (&p->fleet, "east=r1 west=r2"));
+  g_assert_true (fleet_parse_regions (&p->fleet, "east=r1 west=r2"));
   return p;
 }
 
@@ -44,7 +44,7 @@
   struct play *p = two_regions ();
   int i;
 
-  play_route (p)->homes = regions ("r2 r3");
+  play_route (p)->allowed_regions = regions ("r2 r3");
   for (i = 0; i < 8; i++)
     {
       p->sends = 0;
@@ -64,11 +64,11 @@
 {
   struct play *p = two_regions ();
 
-  workspace (p)->homes = regions ("r1");
+  workspace (p)->allowed_regions = regions ("r1");
   play_start (p);
   g_assert_cmpstr (p->to[0], ==, "a");
   play_answer (p, "ok");
-  play_route (p)->homes = regions ("r2");
+  play_route (p)->allowed_regions = regions ("r2");
   p->sends = 0;
   play_start (p);
   g_assert_cmpint (p->sends, ==, 0);
@@ -85,12 +85,12 @@
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
 
   g_strlcpy (b->is.domain, "new", sizeof b->is.domain);
-  workspace (p)->homes = regions ("r2");
+  workspace (p)->allowed_regions = regions ("r2");
   play_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
-  g_assert_false (fleet_take_regions (&p->fleet, "east"));
-  g_assert_false (fleet_take_regions (&p->fleet, "=r1"));
-  g_assert_false (fleet_take_regions (&p->fleet, "east="));
+  g_assert_false (fleet_parse_regions (&p->fleet, "east"));
+  g_assert_false (fleet_parse_regions (&p->fleet, "=r1"));
+  g_assert_false (fleet_parse_regions (&p->fleet, "east="));
   play_free (p);
 }
 
@@ -111,7 +111,7 @@
   s->name = g_strdup ("store");
   s->store_address = g_strdup ("store");
   s->domain = g_strdup ("east");
-  s->memory_tokens = 100000;
+  s->kv_capacity_tokens = 100000;
   s->link_mbit_s = 250000;
   g_hash_table_replace (c->services, s->name, s);
   parts_init (&parts);
@@ -155,13 +155,13 @@
   t = c->workspaces->pdata[0];
   u = c->workspaces->pdata[1];
   s = g_hash_table_lookup (c->services, "s");
-  g_assert_cmpstr (r->homes[0], ==, "r1");
-  g_assert_cmpstr (r->homes[1], ==, "");
-  g_assert_null (r->homes[2]);
-  g_assert_cmpstr (t->homes[0], ==, "r2");
-  g_assert_null (u->homes);
-  g_assert_cmpint (s->cold_us, ==, 2500000);
-  g_assert_cmpint (s->cold_rate, ==, 11);
+  g_assert_cmpstr (r->allowed_regions[0], ==, "r1");
+  g_assert_cmpstr (r->allowed_regions[1], ==, "");
+  g_assert_null (r->allowed_regions[2]);
+  g_assert_cmpstr (t->allowed_regions[0], ==, "r2");
+  g_assert_null (u->allowed_regions);
+  g_assert_cmpint (s->cold_start_us, ==, 2500000);
+  g_assert_cmpint (s->cold_requests_s, ==, 11);
   fleet_conf_unref (c);
 }
 
--- a/regress/test-limit.c
+++ b/regress/test-limit.c
@@ -33,7 +33,7 @@
         sum = 0;
         for (rank = 0; rank < vms; rank++)
           {
-            gap = limit_gap_us (milli, vms, rank);
+            gap = limit_interval_us (milli, vms, rank);
             sum += gap > 0 ? (WINDOW_US - 1) / gap + 1 : 0;
           }
         g_assert_cmpint (sum, >=, 1);
@@ -67,13 +67,13 @@
   int64_t clock = now_us / CQ_US_PER_MS + v->error_ms;
   int64_t gap = 0;
 
-  if (!limit_takes_turns (v->limit.milli, vms))
-    gap = limit_gap_us (v->limit.milli, vms - v->missed, first);
-  else if (!limit_is_between (clock))
-    gap = limit_gap_us (v->limit.milli, vms - v->missed,
-                        v->missed > 0 ? 0
-                                      : rank_in (i, vms, limit_turn (clock)));
-  limit_judge (&v->limit, gap, now_us);
+  if (!limit_is_rotated (v->limit.milli_rps, vms))
+    gap = limit_interval_us (v->limit.milli_rps, vms - v->missed, first);
+  else if (!limit_is_rotation_pause (clock))
+    gap = limit_interval_us (
+        v->limit.milli_rps, vms - v->missed,
+        v->missed > 0 ? 0 : rank_in (i, vms, limit_rotation (clock)));
+  limit_set_interval (&v->limit, gap, now_us);
 }
 
 /* Play VMS that always have a request for an endpoint with a limit of MILLI;
@@ -93,19 +93,19 @@
       list[i] = (struct vm){ .sent = 0 };
       list[i].missed = i >= vms - erring;
       list[i].error_ms = g_rand_int_range (rand, -ERROR_MS, ERROR_MS);
-      limit_name (&list[i].limit, milli, 0,
-                  CQ_US_PER_S + g_rand_int_range (rand, 0, CQ_US_PER_S));
+      limit_report (&list[i].limit, milli, 0,
+                    CQ_US_PER_S + g_rand_int_range (rand, 0, CQ_US_PER_S));
     }
   for (now = 3 * CQ_US_PER_S; now < PLAY_US; now += STEP_US)
     for (i = 0; i < vms; i++)
       {
         struct limit *l = &list[i].limit;
 
-        if (limit_is_unjudged (l, now))
+        if (limit_is_interval_stale (l, now))
           judge (&list[i], i, vms, now);
         if (!limit_may_place (l, now) || !limit_may_send (l, now))
           continue;
-        pace_place (&l->pace, now);
+        pace_placed (&l->pace, now);
         pace_sent (&l->pace, now);
         list[i].sent++;
         g_array_append_val (sent, now);
@@ -172,17 +172,17 @@
 static void
 test_overtaken (void)
 {
-  struct limit l = { .named = false };
+  struct limit l = { .active = false };
 
-  g_assert_true (limit_name (&l, 3000, 10, 20));
-  g_assert_false (limit_lift (&l, 15));
-  g_assert_false (limit_name (&l, 9000, 15, 30));
-  g_assert_true (limit_name (&l, 2000, 15, 31));
-  g_assert_cmpint (l.milli, ==, 2000);
-  g_assert_false (limit_lift (&l, 31));
-  g_assert_true (limit_name (&l, 4000, 32, 33));
-  g_assert_true (limit_lift (&l, 34));
-  g_assert_false (l.named);
+  g_assert_true (limit_report (&l, 3000, 10, 20));
+  g_assert_false (limit_clear (&l, 15));
+  g_assert_false (limit_report (&l, 9000, 15, 30));
+  g_assert_true (limit_report (&l, 2000, 15, 31));
+  g_assert_cmpint (l.milli_rps, ==, 2000);
+  g_assert_false (limit_clear (&l, 31));
+  g_assert_true (limit_report (&l, 4000, 32, 33));
+  g_assert_true (limit_clear (&l, 34));
+  g_assert_false (l.active);
 }
 
 static int64_t
@@ -202,8 +202,8 @@
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
   h.lines = play_seal;
-  h.notice.limit_said = milli >= 0;
-  h.notice.limit_milli = milli;
+  h.notice.has_limit = milli >= 0;
+  h.notice.limit_milli_rps = milli;
   play_answer_head (p, &h);
 }
 
@@ -214,7 +214,7 @@
   struct play *p = play_new (FLEET_IDEMPOTENT);
   int i, n = 0;
 
-  p->fleet.limit_gap = one_in_ten_s;
+  p->fleet.limit_interval_us = one_in_ten_s;
   play_start (p);
   while (strcmp (p->to[0], "a") != 0)
     {
@@ -231,7 +231,7 @@
       play_answer (p, "ok");
     }
   g_assert_cmpint (n, ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
+  g_assert_true (play_endpoint (p, "a")->limit.active);
   play_free (p);
 }
 
@@ -240,11 +240,11 @@
 static void
 test_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
-  p->fleet.limit_gap = one_in_ten_s;
+  p->fleet.limit_interval_us = one_in_ten_s;
   play_start (p);
-  limit_name (&play_endpoint (p, p->to[0])->limit, 100, 0, loop_now_us ());
+  limit_report (&play_endpoint (p, p->to[0])->limit, 100, 0, loop_now_us ());
   play_moves_on (p);
   play_free (p);
 }
@@ -253,11 +253,11 @@
 static void
 test_all_limited (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
-  p->fleet.limit_gap = one_in_ten_s;
-  limit_name (&play_endpoint (p, "a")->limit, 100, 0, loop_now_us ());
-  limit_name (&play_endpoint (p, "b")->limit, 100, 0, loop_now_us ());
+  p->fleet.limit_interval_us = one_in_ten_s;
+  limit_report (&play_endpoint (p, "a")->limit, 100, 0, loop_now_us ());
+  limit_report (&play_endpoint (p, "b")->limit, 100, 0, loop_now_us ());
   play_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
--- a/regress/test-lives.c
+++ b/regress/test-lives.c
@@ -16,7 +16,7 @@
 static struct fleet_listing
 listing (int64_t born_ms, int64_t version)
 {
-  struct fleet_listing l = { .born_ms = born_ms, .version = version };
+  struct fleet_listing l = { .started_ms = born_ms, .version = version };
 
   g_strlcpy (l.id, "e", sizeof l.id);
   g_strlcpy (l.service, "model", sizeof l.service);
@@ -32,7 +32,7 @@
   struct fleet_listing l = listing (born_ms, version);
 
   l.draining = draining;
-  return fleet_take_listing (f, &l, S);
+  return fleet_apply_listing (f, &l, S);
 }
 
 /*
@@ -49,25 +49,25 @@
 
   fleet_init (&f);
   old = fleet_endpoint_ref (take (&f, 1000, 1, true));
-  pick_sent (old);
-  pick_reported (old, 40, S);
-  pick_first (&f, old, 3 * S, S);
-  pick_failed (old, S);
-  pick_failed (old, S);
-  pick_refused (old, S);
-  fleet_take_version (old, 2, FLEET_NEVER, S);
+  pick_request_sent (old);
+  pick_load_reported (old, 40, S);
+  pick_first_chunk (&f, old, 3 * S, S);
+  pick_request_failed (old, S);
+  pick_request_failed (old, S);
+  pick_overload_refused (old, S);
+  fleet_apply_version (old, 2, FLEET_NEVER, S);
   e = take (&f, 2000, 2, false);
   g_assert_true (e != old);
   g_assert_true (old->gone);
-  pick_ended (old);
-  pick_reported (old, 30, S);
+  pick_request_ended (old);
+  pick_load_reported (old, 30, S);
   g_assert_false (e->draining);
   g_assert_cmpint (e->running, ==, 0);
   g_assert_cmpint (pick_load (e, S), ==, 0);
   g_assert_cmpint (e->failures, ==, 0);
-  g_assert_cmpint (e->rest_until_us, ==, 0);
+  g_assert_cmpint (e->backoff_until_us, ==, 0);
   g_assert_cmpint (e->full_until_us, ==, 0);
-  g_assert_cmpint (e->first.seen_us, ==, 0);
+  g_assert_cmpint (e->first_chunk.updated_us, ==, 0);
   g_assert_cmpint (e->version, ==, 2);
   g_assert_true (g_hash_table_lookup (f.by_id, "e") == e);
   g_assert_true (APR_RING_FIRST (&f.endpoints) == e);
@@ -114,7 +114,8 @@
   e = take (&f, 0, 1, true);
   g_assert_true (take (&f, 0, 1, false) == e);
   g_assert_true (e->draining);
-  g_assert_cmpint (fleet_life_of (e, 5), ==, FLEET_LIFE_YOUNGER);
+  g_assert_cmpint (fleet_incarnation_compare (e, 5), ==,
+                   FLEET_INCARNATION_NEWER);
   e = take (&f, 5, 1, false);
   g_assert_false (e->draining);
   fleet_clear (&f);
@@ -130,9 +131,9 @@
 
   fleet_init (&f);
   old = take (&f, 1000, 1, true);
-  fleet_take_version (old, 4, FLEET_NEVER, S);
-  e = fleet_take_birth (&f, old, 2000, S);
-  g_assert_cmpint (e->is.born_ms, ==, 2000);
+  fleet_apply_version (old, 4, FLEET_NEVER, S);
+  e = fleet_apply_restart (&f, old, 2000, S);
+  g_assert_cmpint (e->is.started_ms, ==, 2000);
   g_assert_false (e->draining);
   g_assert_cmpint (e->version, ==, 4);
   g_assert_cmpstr (e->is.address, ==, "127.0.0.1:1");
@@ -154,25 +155,25 @@
   struct fleet_endpoint *e;
 
   fleet_init (&f);
-  fleet_take_wanted (&f, "m", 3, S, S);
+  fleet_apply_wanted (&f, "m", 3, S, S);
   e = take (&f, 2000, 3, false);
   g_assert_false (fleet_needs_weights (&f, e));
-  fleet_take_version (e, 2, S - 1, 2 * S);
+  fleet_apply_version (e, 2, S - 1, 2 * S);
   g_assert_cmpint (e->version, ==, 3);
-  fleet_take_version (e, 2, S + 1, 2 * S);
+  fleet_apply_version (e, 2, S + 1, 2 * S);
   g_assert_cmpint (e->version, ==, 2);
   g_assert_true (fleet_needs_weights (&f, e));
   /* Sent before the fall was heard of, answered after it. */
-  fleet_take_version (e, 1, 2 * S - 1, 3 * S);
+  fleet_apply_version (e, 1, 2 * S - 1, 3 * S);
   g_assert_cmpint (e->version, ==, 2);
-  fleet_take_version (e, 3, FLEET_NEVER, 4 * S);
+  fleet_apply_version (e, 3, FLEET_NEVER, 4 * S);
   g_assert_false (fleet_needs_weights (&f, e));
   /* It refuses its weights and names no others: somebody must ask it. */
   fleet_doubt_version (e);
   g_assert_true (fleet_needs_weights (&f, e));
-  fleet_take_version (e, 3, 4 * S, 5 * S);
+  fleet_apply_version (e, 3, 4 * S, 5 * S);
   g_assert_true (fleet_needs_weights (&f, e));
-  fleet_take_version (e, 3, 4 * S + 1, 5 * S);
+  fleet_apply_version (e, 3, 4 * S + 1, 5 * S);
   g_assert_false (fleet_needs_weights (&f, e));
   fleet_clear (&f);
 }
@@ -232,7 +233,7 @@
         pdecode_endpoint ("e", entries[i].text, strlen (entries[i].text), &l),
         ==, entries[i].flaw);
   pdecode_endpoint ("e", entries[1].text, strlen (entries[1].text), &l);
-  g_assert_cmpint (l.born_ms, ==, INT64_C (1785000000000));
+  g_assert_cmpint (l.started_ms, ==, INT64_C (1785000000000));
 }
 
 /* An entry names a service that the operator never declared, and the model
@@ -246,9 +247,9 @@
   struct fleet_endpoint *e;
 
   fleet_init (&f);
-  fleet_conf_seal (c);
-  fleet_take_conf (&f, c, 1);
-  fleet_take_wanted (&f, "m", 3, S, S);
+  fleet_conf_build_index (c);
+  fleet_apply_conf (&f, c, 1);
+  fleet_apply_wanted (&f, "m", 3, S, S);
   e = take (&f, 1, 1, false);
   g_assert_nonnull (fleet_outdated_by (&f, e));
   g_assert_false (fleet_needs_weights (&f, e));
--- a/regress/test-load.c
+++ b/regress/test-load.c
@@ -17,7 +17,7 @@
 static struct load_gossip
 word (const char *vm, uint64_t life, uint64_t beat)
 {
-  struct load_gossip w = { .life = life, .beat = beat };
+  struct load_gossip w = { .incarnation = life, .seq = beat };
 
   g_strlcpy (w.vm, vm, sizeof w.vm);
   g_strlcpy (w.domain, "d1", sizeof w.domain);
@@ -29,10 +29,11 @@
 add_work (struct load_gossip *w, uint64_t endpoint, int64_t unread,
           int64_t held)
 {
-  w->entries[w->n++] = (struct load_entry){ .endpoint = endpoint,
-                                            .part = (uint64_t)w->n + 1000,
-                                            .unread = unread,
-                                            .held = held };
+  w->entries[w->nentries++]
+      = (struct load_entry){ .endpoint = endpoint,
+                             .part = (uint64_t)w->nentries + 1000,
+                             .pending_prefill_tokens = unread,
+                             .kv_tokens = held };
 }
 
 /*
@@ -48,25 +49,25 @@
 
   add_work (&w, 1, 1000, 2000);
   add_work (&w, 2, 10, 20);
-  g_assert_true (load_take (b, &w, S));
+  g_assert_true (load_update (b, &w, S));
   w = word ("b", 5, 1);
   add_work (&w, 1, 500, 600);
-  g_assert_true (load_take (b, &w, S));
-  g_assert_cmpint (load_at (b, 1).unread, ==, 1500);
-  g_assert_cmpint (load_at (b, 1).held, ==, 2600);
+  g_assert_true (load_update (b, &w, S));
+  g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 1500);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 2600);
   w = word ("a", 5, 3);
   add_work (&w, 1, 0, 2000);
-  g_assert_true (load_take (b, &w, S));
-  g_assert_cmpint (load_at (b, 1).unread, ==, 500);
-  g_assert_cmpint (load_at (b, 2).held, ==, 0);
+  g_assert_true (load_update (b, &w, S));
+  g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 500);
+  g_assert_cmpint (load_at (b, 2).kv_tokens, ==, 0);
   w = word ("a", 5, 2);
   add_work (&w, 1, 9000, 9000);
-  g_assert_false (load_take (b, &w, S));
+  g_assert_false (load_update (b, &w, S));
   w = word ("a", 4, 9);
-  g_assert_false (load_take (b, &w, S));
+  g_assert_false (load_update (b, &w, S));
   w = word ("a", 6, 1);
-  g_assert_true (load_take (b, &w, S));
-  g_assert_cmpint (load_at (b, 1).held, ==, 600);
+  g_assert_true (load_update (b, &w, S));
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 600);
   load_free (b);
 }
 
@@ -82,23 +83,23 @@
   struct load_gossip w = word ("a", 5, 1);
 
   w.entries[0] = (struct load_entry){ 1, 7, 100, 200, 9000, 9000 };
-  w.n = 1;
-  load_take (b, &w, S);
+  w.nentries = 1;
+  load_update (b, &w, S);
   w = word ("b", 5, 1);
   w.entries[0] = (struct load_entry){ 1, 7, 10, 20, 0, 9000 };
-  w.n = 1;
-  load_take (b, &w, S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 9220);
-  g_assert_cmpint (load_at (b, 1).unread, ==, 9110);
+  w.nentries = 1;
+  load_update (b, &w, S);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 9220);
+  g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 9110);
   g_assert_true (load_has_part (b, 1, 7));
   g_assert_false (load_has_part (b, 2, 7));
   w = word ("a", 5, 2);
-  load_take (b, &w, S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 9020);
+  load_update (b, &w, S);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 9020);
   g_assert_true (load_has_part (b, 1, 7));
   w = word ("b", 5, 2);
-  load_take (b, &w, S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 0);
+  load_update (b, &w, S);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 0);
   g_assert_false (load_has_part (b, 1, 7));
   load_free (b);
 }
@@ -115,17 +116,17 @@
   struct load_gossip w = word ("a", 5, 1);
 
   add_work (&w, 1, 1000, 2000);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   load_expire (b, 2 * S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 2000);
-  g_assert_cmpint (load_peers (b), ==, 1);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 2000);
+  g_assert_cmpint (load_peer_count (b), ==, 1);
   load_expire (b, 3 * S);
   load_expire (b, 3 * S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 0);
-  g_assert_cmpint (load_peers (b), ==, 0);
-  w.beat++;
-  load_take (b, &w, 4 * S);
-  g_assert_cmpint (load_at (b, 1).held, ==, 2000);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 0);
+  g_assert_cmpint (load_peer_count (b), ==, 0);
+  w.seq++;
+  load_update (b, &w, 4 * S);
+  g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 2000);
   load_free (b);
 }
 
@@ -146,16 +147,16 @@
     {
       g_snprintf (name, sizeof name, "n%d", i);
       w = word (name, 1, 1);
-      taken += load_take (b, &w, S);
+      taken += load_update (b, &w, S);
     }
   g_assert_cmpint (taken, ==, 2048);
   w = word ("n0", 1, 2);
-  g_assert_true (load_take (b, &w, 30 * S));
+  g_assert_true (load_update (b, &w, 30 * S));
   load_expire (b, 62 * S);
   w = word ("another", 1, 1);
-  g_assert_true (load_take (b, &w, 62 * S));
+  g_assert_true (load_update (b, &w, 62 * S));
   w = word ("n0", 1, 2);
-  g_assert_false (load_take (b, &w, 62 * S));
+  g_assert_false (load_update (b, &w, 62 * S));
   load_free (b);
 }
 
@@ -167,11 +168,11 @@
   struct load_gossip w = word ("a", 5, 1);
 
   add_work (&w, 1, 1000, 2000);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   load_scale (b, 96, 24, true);
-  g_assert_cmpint (load_at (b, 1).unread, ==, 4000);
+  g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 4000);
   g_assert_true (load_is_partial (b));
-  g_assert_cmpint (load_at (NULL, 1).unread, ==, 0);
+  g_assert_cmpint (load_at (NULL, 1).pending_prefill_tokens, ==, 0);
   load_free (b);
 }
 
@@ -184,16 +185,17 @@
   g_autoptr (GByteArray) bytes = NULL;
   guint i;
 
-  while (w.n < LOAD_ENTRIES_MAX)
-    add_work (&w, UINT64_C (1) << 63 | (unsigned)w.n, w.n, INT64_C (3) * w.n);
+  while (w.nentries < LOAD_ENTRIES_MAX)
+    add_work (&w, UINT64_C (1) << 63 | (unsigned)w.nentries, w.nentries,
+              INT64_C (3) * w.nentries);
   bytes = tell_encode (&w);
   g_assert_cmpuint (bytes->len, <, 1700);
   g_assert_true (tell_decode ((char *)bytes->data, bytes->len, &got));
   g_assert_cmpstr (got.vm, ==, "vm-1");
   g_assert_cmpstr (got.domain, ==, "d1");
-  g_assert_true (got.life == UINT64_MAX);
-  g_assert_cmpint (got.n, ==, LOAD_ENTRIES_MAX);
-  g_assert_cmpint (got.entries[39].held, ==, 117);
+  g_assert_true (got.incarnation == UINT64_MAX);
+  g_assert_cmpint (got.nentries, ==, LOAD_ENTRIES_MAX);
+  g_assert_cmpint (got.entries[39].kv_tokens, ==, 117);
   for (i = 0; i < bytes->len; i++)
     g_assert_false (tell_decode ((char *)bytes->data, i, &got));
   g_assert_false (tell_decode ("", 0, &got));
@@ -224,17 +226,17 @@
   fleet_init (f);
   sv->name = g_strdup ("model");
   sv->model = g_strdup ("m");
-  sv->memory_tokens = MEMORY;
+  sv->kv_capacity_tokens = MEMORY;
   g_hash_table_replace (c->services, sv->name, sv);
-  fleet_conf_seal (c);
-  fleet_take_conf (f, c, 1);
+  fleet_conf_build_index (c);
+  fleet_apply_conf (f, c, 1);
   for (i = 0; i < ENDPOINTS; i++)
     {
       g_snprintf (l.id, sizeof l.id, "e%d", i);
       g_strlcpy (l.service, "model", sizeof l.service);
       g_strlcpy (l.model, "m", sizeof l.model);
       g_snprintf (l.domain, sizeof l.domain, "d%d", i % 3);
-      fleet_take_listing (f, &l, S);
+      fleet_apply_listing (f, &l, S);
     }
 }
 
@@ -267,11 +269,11 @@
   q.loads = b;
   home = pick_endpoint (&f, &q, S).endpoint;
   add_work (&w, home->key, 34000, 34000);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   g_assert_true (pick_endpoint (&f, &q, S).endpoint != home);
   w = word ("a", 1, 2);
   add_work (&w, home->key, 0, 34000);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   g_assert_true (pick_endpoint (&f, &q, S).endpoint == home);
   load_free (b);
   fleet_clear (&f);
@@ -294,7 +296,7 @@
   q.loads = b;
   home = pick_endpoint (&f, &q, S).endpoint;
   add_work (&w, home->key, 0, MEMORY - 20000);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   g_assert_true (pick_endpoint (&f, &q, S).endpoint != home);
   load_free (b);
   fleet_clear (&f);
@@ -327,7 +329,7 @@
     }
   for (i = 0; i < ENDPOINTS; i += 3)
     add_work (&w, endpoint (&f, i)->key, 60000, 0);
-  load_take (b, &w, S);
+  load_update (b, &w, S);
   g_assert_cmpstr (pick_endpoint (&f, &q, S).endpoint->is.domain, !=, "d0");
   load_free (b);
   fleet_clear (&f);
@@ -367,7 +369,7 @@
                 d->unread[vm][i]);
   for (i = 0; i < VMS; i++)
     if (i != vm)
-      load_take (d->books[i], &w, now_ms * MS);
+      load_update (d->books[i], &w, now_ms * MS);
 }
 
 static void
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -57,11 +57,11 @@
   say (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
   ready = play_endpoint (p, "a")->is;
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   /* The next life has said nothing. */
-  ready.born_ms = 1700000000000;
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  ready.started_ms = 1700000000000;
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), >, 0);
   play_free (p);
 }
@@ -76,15 +76,15 @@
   struct fleet_listing ready = play_endpoint (p, "a")->is;
 
   start_at_a (p);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
   g_assert_null (play_endpoint (p, "a"));
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   /* Its answer comes when the entry is back. */
   say (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   play_free (p);
 }
@@ -101,11 +101,11 @@
   for (i = 0; i < 5000; i++)
     {
       g_snprintf (l.id, sizeof l.id, "i-%d", i);
-      fleet_take_missing (&f, fleet_take_listing (&f, &l, 1), 1);
+      fleet_apply_missing (&f, fleet_apply_listing (&f, &l, 1), 1);
     }
   g_assert_cmpint (f.nformer, <, 1000);
   l.draining = false;
-  g_assert_true (fleet_take_listing (&f, &l, 2)->draining);
+  g_assert_true (fleet_apply_listing (&f, &l, 2)->draining);
   fleet_clear (&f);
 }
 
@@ -115,11 +115,12 @@
 test_leaving_before_send (void)
 {
   static const struct notice leaving = { .leaving = true };
-  static const struct notice_from from = { .source = "answer", .whole = true };
-  struct play *p = play_new (FLEET_ONCE);
+  static const struct notice_origin from
+      = { .source = "answer", .has_all_notices = true };
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
-  notice_take (play_endpoint (p, p->to[0]), &leaving, &from, loop_now_us ());
+  notice_apply (play_endpoint (p, p->to[0]), &leaving, &from, loop_now_us ());
   play_moves_on (p);
   play_free (p);
 }
@@ -131,7 +132,7 @@
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
 
   h.lines = play_seal;
-  h.notice.rest_us = rest_us;
+  h.notice.backoff_us = rest_us;
   play_answer_head (p, &h);
 }
 
@@ -147,10 +148,10 @@
   refuse (p, 60 * CQ_US_PER_S);
   play_answer (p, "ok");
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  play_endpoint (p, "a")->asked_rest_us = loop_now_us ();
+  play_endpoint (p, "a")->requested_backoff_until_us = loop_now_us ();
   play_endpoint (p, "a")->full_until_us = 0;
   g_assert_cmpint (count_at_a (p), >, 0);
   play_free (p);
@@ -164,21 +165,22 @@
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct fleet_listing l = play_endpoint (p, "a")->is;
   static const struct notice limit
-      = { .limit_said = true, .limit_milli = 1000 };
-  static const struct notice_from from = { .source = "answer", .whole = true };
+      = { .has_limit = true, .limit_milli_rps = 1000 };
+  static const struct notice_origin from
+      = { .source = "answer", .has_all_notices = true };
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
   play_answer (p, "ok");
-  notice_take (play_endpoint (p, "a"), &limit, &from, loop_now_us ());
-  l.born_ms = 1700000000000;
-  fleet_take_listing (&p->fleet, &l, loop_now_us ());
+  notice_apply (play_endpoint (p, "a"), &limit, &from, loop_now_us ());
+  l.started_ms = 1700000000000;
+  fleet_apply_listing (&p->fleet, &l, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
-  fleet_take_birth (&p->fleet, play_endpoint (p, "a"), l.born_ms + 1,
-                    loop_now_us ());
+  g_assert_true (play_endpoint (p, "a")->limit.active);
+  fleet_apply_restart (&p->fleet, play_endpoint (p, "a"), l.started_ms + 1,
+                       loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (play_endpoint (p, "a")->limit.named);
+  g_assert_true (play_endpoint (p, "a")->limit.active);
   play_free (p);
 }
 
@@ -186,16 +188,16 @@
 static void
 test_rest_longest (void)
 {
-  static const struct notice_from from = { .source = "answer" };
-  struct notice n = { .rest_us = 5 * CQ_US_PER_S };
+  static const struct notice_origin from = { .source = "answer" };
+  struct notice n = { .backoff_us = 5 * CQ_US_PER_S };
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct fleet_endpoint *e = play_endpoint (p, "a");
 
-  notice_take (e, &n, &from, CQ_US_PER_S);
-  n.rest_us = CQ_US_PER_S;
-  notice_take (e, &n, &from, 2 * CQ_US_PER_S);
-  g_assert_true (pick_rests (e, 6 * CQ_US_PER_S - 1));
-  g_assert_false (pick_rests (e, 6 * CQ_US_PER_S));
+  notice_apply (e, &n, &from, CQ_US_PER_S);
+  n.backoff_us = CQ_US_PER_S;
+  notice_apply (e, &n, &from, 2 * CQ_US_PER_S);
+  g_assert_true (pick_is_backoff_requested (e, 6 * CQ_US_PER_S - 1));
+  g_assert_false (pick_is_backoff_requested (e, 6 * CQ_US_PER_S));
   play_free (p);
 }
 
@@ -204,11 +206,13 @@
 static void
 test_all_rest (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
-  play_endpoint (p, "a")->asked_rest_us = loop_now_us () + 3 * CQ_US_PER_S;
-  play_endpoint (p, "b")->asked_rest_us = loop_now_us () + 8 * CQ_US_PER_S;
+  play_endpoint (p, "a")->requested_backoff_until_us
+      = loop_now_us () + 3 * CQ_US_PER_S;
+  play_endpoint (p, "b")->requested_backoff_until_us
+      = loop_now_us () + 8 * CQ_US_PER_S;
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 1);
@@ -222,16 +226,16 @@
 static void
 test_other_life (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.other_life = true;
-  h.notice.limit_said = true;
-  h.notice.limit_milli = 1000;
+  h.notice.has_limit = true;
+  h.notice.limit_milli_rps = 1000;
   h.lines = play_seal;
   play_start (p);
   play_answer_head (p, &h);
-  g_assert_false (play_endpoint (p, p->to[0])->limit.named);
+  g_assert_false (play_endpoint (p, p->to[0])->limit.active);
   play_answer (p, "ok");
   play_free (p);
 }
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -265,7 +265,7 @@
   fleet_init (&st->fleet);
   g_strlcpy (l.id, "e", sizeof l.id);
   g_strlcpy (l.model, "m", sizeof l.model);
-  fleet_take_listing (&st->fleet, &l, 1);
+  fleet_apply_listing (&st->fleet, &l, 1);
   o.loop = st->loop;
   o.fleet = &st->fleet;
   o.ops.read_lease = read_lease;
@@ -338,7 +338,7 @@
 {
   int64_t now = loop_now_us ();
 
-  fleet_take_wanted (&st->fleet, "m", 2, now, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now, now);
   orders_look (st->orders, now);
 }
 
@@ -426,7 +426,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 1000;
-  endpoint_of (st)->is.born_ms = 1000;
+  endpoint_of (st)->is.started_ms = 1000;
   st->hold_busy = true;
   name_version (st);
   wait_until (st, was_sent);
@@ -437,7 +437,7 @@
   st->born_ms = 2000;
   wait_until (st, was_sent_again);
   g_assert_cmpint (st->last_seq, ==, 0);
-  g_assert_cmpint (endpoint_of (st)->is.born_ms, ==, 2000);
+  g_assert_cmpint (endpoint_of (st)->is.started_ms, ==, 2000);
   wait_until (st, is_released);
   stage_free (st);
 }
@@ -453,7 +453,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 1000;
-  endpoint_of (st)->is.born_ms = 2000;
+  endpoint_of (st)->is.started_ms = 2000;
   st->seq = 3;
   st->version = 2;
   name_version (st);
@@ -482,7 +482,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 0;
-  endpoint_of (st)->is.born_ms = 2000;
+  endpoint_of (st)->is.started_ms = 2000;
   name_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
@@ -520,7 +520,7 @@
 {
   int64_t now = loop_now_us ();
 
-  fleet_take_wanted (&st->fleet, "m", 2, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, now);
   orders_look (st->orders, now);
 }
 
@@ -528,16 +528,16 @@
 static int64_t
 not_before (const struct stage *st)
 {
-  return fleet_not_before (&st->fleet, "m", 2);
+  return fleet_earliest_naming_us (&st->fleet, "m", 2);
 }
 
 /* Whether old weights that take work for LIMIT_US would take some now. */
 static bool
 has_grace (const struct stage *st, int64_t limit_us)
 {
-  return !fleet_outdated_for (&st->fleet,
-                              APR_RING_FIRST (&st->fleet.endpoints), limit_us,
-                              loop_now_us ());
+  return !fleet_is_outdated_for (&st->fleet,
+                                 APR_RING_FIRST (&st->fleet.endpoints),
+                                 limit_us, loop_now_us ());
 }
 
 /*
@@ -555,7 +555,7 @@
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   lease_note_named (&st->row, &n);
-  fleet_take_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
   g_assert_false (has_grace (st, INT64_MAX));
   orders_look (st->orders, loop_now_us ());
   g_assert_true (has_grace (st, 12 * CQ_US_PER_S));
@@ -621,7 +621,7 @@
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
   orders_look (st->orders, now);
   g_assert_cmpint (not_before (st), ==, now - 1000 * MS);
   stage_free (st);
@@ -639,7 +639,7 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   lease_note_named (&st->row, &other);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
   orders_look (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (st->row.nnamed, ==, 2);
@@ -660,7 +660,7 @@
 
   APR_RING_FOREACH (e, &st->fleet.endpoints, fleet_endpoint, link)
   {
-    if (e->reload_us == 0)
+    if (e->reload_ordered_us == 0)
       return false;
   }
   return true;
@@ -684,7 +684,7 @@
     {
       g_snprintf (l.id, sizeof l.id, "e%d", i);
       g_strlcpy (l.model, "m", sizeof l.model);
-      fleet_take_listing (&st->fleet, &l, 1);
+      fleet_apply_listing (&st->fleet, &l, 1);
     }
   st->lose_orders = true;
   name_version (st);
@@ -717,7 +717,7 @@
   st->row_version = 5;
   lease_note_named (&st->row, &two);
   lease_note_named (&st->row, &three);
-  fleet_take_wanted (&st->fleet, "m", 3, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, 0, now);
   orders_look (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   stage_free (st);
@@ -737,7 +737,7 @@
   st->row_version = 5;
   lease_note_named (&st->row, &two);
   lease_note_named (&st->row, &three);
-  fleet_take_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   orders_look (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
@@ -759,10 +759,10 @@
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
   for (i = 1; i <= LEASE_NAMED_MAX; i++)
-    fleet_take_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
+    fleet_apply_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
   orders_look (st->orders, now);
   wait_until (st, is_released);
   for (i = 0; i < st->row.nnamed; i++)
@@ -787,7 +787,7 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   lease_note_named (&st->row, &late);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
   orders_look (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (not_before (st), <=, now - 10000 * MS);
@@ -810,7 +810,7 @@
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
   orders_look (st->orders, now);
   g_assert_false (has_grace (st, 9 * CQ_US_PER_S));
   stage_free (st);
@@ -881,7 +881,7 @@
     {
       g_snprintf (l.id, sizeof l.id, "e%d", i);
       g_strlcpy (l.model, "m", sizeof l.model);
-      fleet_take_listing (&st->fleet, &l, 1);
+      fleet_apply_listing (&st->fleet, &l, 1);
     }
   st->lose_orders = true;
   st->each_busy = true;
@@ -1004,7 +1004,7 @@
   st->hold_busy = true;
   name_version (st);
   wait_until (st, is_busy);
-  fleet_take_wanted (&st->fleet, "m", 3, loop_now_us (), loop_now_us ());
+  fleet_apply_wanted (&st->fleet, "m", 3, loop_now_us (), loop_now_us ());
   st->busy = false;
   st->version = 2;
   st->hold_busy = false;
@@ -1074,15 +1074,15 @@
   lease_note_named (&st->row, &two);
   lease_note_named (&st->row, &three);
   st->row_version = 7;
-  fleet_take_wanted (&st->fleet, "m", 3, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, 0, now);
   orders_look (st->orders, now);
   g_assert_true (
-      fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
+      fleet_is_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
   /* What has version 2 already is outdated since 3 was named. */
-  fleet_take_version (APR_RING_FIRST (&st->fleet.endpoints), 2, FLEET_NEVER,
-                      loop_now_us ());
+  fleet_apply_version (APR_RING_FIRST (&st->fleet.endpoints), 2, FLEET_NEVER,
+                       loop_now_us ());
   g_assert_false (
-      fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
+      fleet_is_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
   stage_free (st);
 }
 
@@ -1112,10 +1112,10 @@
   wait_until (running, is_later);
   started->row = running->row;
   started->row_version = running->row_version;
-  fleet_take_wanted (&started->fleet, "m", 2, 0, loop_now_us ());
+  fleet_apply_wanted (&started->fleet, "m", 2, 0, loop_now_us ());
   orders_look (started->orders, loop_now_us ());
   now = loop_now_us ();
-  g_assert_true (fleet_outdated_for (
+  g_assert_true (fleet_is_outdated_for (
       &started->fleet, APR_RING_FIRST (&started->fleet.endpoints),
       now - named_us, now));
   stage_free (started);
@@ -1129,23 +1129,24 @@
   struct stage *st = stage_new ();
   const struct fleet_endpoint *e = g_hash_table_lookup (st->fleet.by_id, "e");
 
-  st->in_report = (struct notice){ .limit_said = true, .limit_milli = 5000 };
+  st->in_report
+      = (struct notice){ .has_limit = true, .limit_milli_rps = 5000 };
   name_version (st);
   wait_until (st, was_sent);
-  g_assert_true (e->limit.named);
-  g_assert_cmpint (e->limit.milli, ==, 5000);
+  g_assert_true (e->limit.active);
+  g_assert_cmpint (e->limit.milli_rps, ==, 5000);
   stage_free (st);
 
   st = stage_new ();
   e = g_hash_table_lookup (st->fleet.by_id, "e");
-  st->in_order = (struct notice){ .limit_said = true, .limit_milli = 4000 };
+  st->in_order = (struct notice){ .has_limit = true, .limit_milli_rps = 4000 };
   name_version (st);
   wait_until (st, was_sent);
-  g_assert_true (e->limit.named);
+  g_assert_true (e->limit.active);
   /* A report need not name what stands. */
   wait_until (st, is_released);
-  g_assert_cmpint (e->limit.milli, ==, 4000);
-  g_assert_true (e->limit.named);
+  g_assert_cmpint (e->limit.milli_rps, ==, 4000);
+  g_assert_true (e->limit.active);
   stage_free (st);
 }
 
--- a/regress/test-parts.c
+++ b/regress/test-parts.c
@@ -21,9 +21,9 @@
   sv->name = g_strdup (address);
   sv->store_address = g_strdup (address);
   sv->domain = g_strdup ("d");
-  sv->memory_tokens = capacity;
+  sv->kv_capacity_tokens = capacity;
   sv->link_mbit_s = mbit_s;
-  sv->first_us = first_us;
+  sv->transfer_latency_us = first_us;
   g_hash_table_replace (c->services, sv->name, sv);
 }
 
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -22,7 +22,7 @@
 
   play_start (p);
   g_assert_cmpint (p->sends, ==, 1);
-  p->fleet.fresh_us -= PLAY_STALE_US + 1;
+  p->fleet.conf_current_us -= PLAY_STALE_US + 1;
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -38,7 +38,7 @@
   struct play *p = play_new (FLEET_IDEMPOTENT);
 
   play_start (p);
-  fleet_take_conf (&p->fleet, play_conf (2, FLEET_IDEMPOTENT, "other"), 2);
+  fleet_apply_conf (&p->fleet, play_conf (2, FLEET_IDEMPOTENT, "other"), 2);
   g_assert_false (p->event->before_send (p->arg));
   play_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -56,7 +56,7 @@
   p->desc.key = "new";
   play_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_BAD_KEY);
-  p->fleet.fresh_us -= PLAY_STALE_US + 1;
+  p->fleet.conf_current_us -= PLAY_STALE_US + 1;
   play_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->sends, ==, 0);
@@ -76,11 +76,11 @@
   int64_t now = loop_now_us ();
   int sends = p->sends;
 
-  p->fleet.fresh_us = now - PLAY_DENY_US + 1;
+  p->fleet.conf_current_us = now - PLAY_DENY_US + 1;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, why);
   g_assert_cmpint (p->retry_after_us, ==, 0);
-  p->fleet.fresh_us = now - PLAY_DENY_US;
+  p->fleet.conf_current_us = now - PLAY_DENY_US;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
@@ -119,7 +119,7 @@
 
   relay_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_TOO_LARGE);
-  p->fleet.fresh_us = 0;
+  p->fleet.conf_current_us = 0;
   relay_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   play_free (p);
@@ -135,7 +135,7 @@
 static void
 test_once (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
   g_assert_true (p->event->before_send (p->arg));
@@ -149,7 +149,7 @@
 static void
 test_once_unreached (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
   play_end (p, false, false);
@@ -164,7 +164,7 @@
 static void
 test_refused_by_all (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
   int i;
 
@@ -189,7 +189,7 @@
 static void
 test_other_life (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.lines = play_seal;
@@ -207,7 +207,7 @@
 static void
 test_all_gone (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   char id[] = "c";
   int i;
@@ -259,7 +259,7 @@
 static void
 test_other_version (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
@@ -404,8 +404,8 @@
           play_end (p, true, false);
         }
       p->refused = -1;
-      pick_worked (APR_RING_FIRST (&p->fleet.endpoints));
-      pick_worked (APR_RING_LAST (&p->fleet.endpoints));
+      pick_request_succeeded (APR_RING_FIRST (&p->fleet.endpoints));
+      pick_request_succeeded (APR_RING_LAST (&p->fleet.endpoints));
     }
   /* Twenty requests, a burst of four, a tenth of what came. */
   g_assert_cmpint (p->sends, >=, 24);
@@ -463,10 +463,10 @@
   struct play *p = play_new (FLEET_STREAM);
   int64_t now = loop_now_us ();
 
-  p->fleet.old_max_us = 9 * CQ_US_PER_S;
-  p->fleet.old_end_us = 12 * CQ_US_PER_S;
-  fleet_take_wanted (&p->fleet, "m", 4, now - 8 * CQ_US_PER_S,
-                     now - 8 * CQ_US_PER_S);
+  p->fleet.outdated_accept_us = 9 * CQ_US_PER_S;
+  p->fleet.outdated_start_us = 12 * CQ_US_PER_S;
+  fleet_apply_wanted (&p->fleet, "m", 4, now - 8 * CQ_US_PER_S,
+                      now - 8 * CQ_US_PER_S);
   play_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->left_us, >, 0);
@@ -505,8 +505,8 @@
     {
       APR_RING_FOREACH (e, &p->fleet.endpoints, fleet_endpoint, link)
       {
-        e->first.smoothed_us = wait_us;
-        e->first.seen_us = now - silent_us;
+        e->first_chunk.smoothed_us = wait_us;
+        e->first_chunk.updated_us = now - silent_us;
       }
       p->sends = 0;
       p->refused = -1;
@@ -642,15 +642,15 @@
   int64_t now = loop_now_us ();
 
   /* Callers wait long enough for a second try not to be too late. */
-  play_route (p)->target_us = 10 * CQ_US_PER_S;
-  p->fleet.old_max_us = 100000;
-  p->fleet.old_end_us = 300000;
+  play_route (p)->target_latency_us = 10 * CQ_US_PER_S;
+  p->fleet.outdated_accept_us = 100000;
+  p->fleet.outdated_start_us = 300000;
   b->draining = true;
-  fleet_take_wanted (&p->fleet, "m", 4, now, now);
+  fleet_apply_wanted (&p->fleet, "m", 4, now, now);
   play_start (p);
   g_assert_cmpstr (p->to[0], ==, a->is.id);
   b->draining = false;
-  fleet_take_version (b, 4, FLEET_NEVER, loop_now_us ());
+  fleet_apply_version (b, 4, FLEET_NEVER, loop_now_us ());
 }
 
 /*
@@ -741,7 +741,7 @@
 static void
 test_running_on_old_weights (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
@@ -779,8 +779,8 @@
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
   struct fleet_listing l = e->is;
 
-  l.born_ms = born_ms;
-  return fleet_take_listing (&p->fleet, &l, loop_now_us ());
+  l.started_ms = born_ms;
+  return fleet_apply_listing (&p->fleet, &l, loop_now_us ());
 }
 
 /*
@@ -790,7 +790,7 @@
 static void
 test_restart_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
   start_again (p, p->to[0], 1000);
@@ -811,7 +811,7 @@
 static void
 test_restart_after_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
 
   play_start (p);
@@ -856,7 +856,7 @@
 static void
 test_unknown_weights (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -37,7 +37,7 @@
 test_held (void)
 {
   static const enum fleet_kind kinds[]
-      = { FLEET_IDEMPOTENT, FLEET_ONCE, FLEET_STREAM };
+      = { FLEET_IDEMPOTENT, FLEET_AT_MOST_ONCE, FLEET_STREAM };
   struct play *p;
   size_t i;
 
@@ -59,7 +59,7 @@
 static void
 test_held_by_workspace (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   condemn (p, "other");
   play_start (p);
@@ -74,7 +74,7 @@
 static void
 test_held_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
   condemn (p, "ws");
@@ -136,7 +136,7 @@
 static void
 test_suspect_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   p->relays->opts.suspect_turn = has_turn;
   play_start (p);
@@ -152,7 +152,7 @@
 static void
 test_suspect_answered (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   p->relays->opts.suspect_turn = has_turn;
   p->turn = true;
@@ -170,7 +170,7 @@
 static void
 test_evidence_unknown (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   p->evidence_known = false;
   play_start (p);
@@ -214,7 +214,7 @@
 
   for (i = 0; i < G_N_ELEMENTS (probes); i++)
     {
-      p = play_new (FLEET_ONCE);
+      p = play_new (FLEET_AT_MOST_ONCE);
       g_assert_true (break_off (p, probes[i])
                      == (probes[i] == RELAY_PROBE_CRASHED));
       g_assert_cmpint (p->probes, ==, 1);
@@ -231,7 +231,7 @@
 static void
 test_probed_again (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   g_assert_false (break_off (p, RELAY_PROBE_SILENT));
   play_run (p, 150 * CQ_US_PER_MS);
@@ -245,7 +245,7 @@
 static void
 test_release_is_no_end (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
 
   play_start (p);
@@ -262,7 +262,7 @@
 static void
 test_asked_seldom (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int i;
 
@@ -277,7 +277,7 @@
 static void
 test_calm_costs_nothing (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
   play_start (p);
   g_assert_true (p->event->before_send (p->arg));
--- a/regress/test-units.c
+++ b/regress/test-units.c
@@ -28,17 +28,18 @@
 static void
 test_stall_slow_progress (void)
 {
-  struct stall s = { .first_us = FIRST_US, .more_us = MORE_US };
+  struct stall s
+      = { .first_byte_limit_us = FIRST_US, .next_byte_limit_us = MORE_US };
   int64_t now = 1000;
   int i;
 
-  s.since_us = now;
+  s.progress_us = now;
   for (i = 0; i < 1000; i++)
     {
       now += MORE_US - 1;
-      g_assert_cmpint (stall_state (&s, now), ==, STALL_COMING);
-      stall_byte (&s, now);
-      g_assert_cmpint (stall_due_us (&s), ==, now + MORE_US);
+      g_assert_cmpint (stall_state (&s, now), ==, STALL_NONE);
+      stall_byte_received (&s, now);
+      g_assert_cmpint (stall_deadline_us (&s), ==, now + MORE_US);
     }
 }
 
@@ -47,26 +48,27 @@
 static void
 test_stall_silence (void)
 {
-  struct stall s = { .first_us = FIRST_US, .more_us = MORE_US };
-
-  s.since_us = 1000;
-  g_assert_cmpint (stall_due_us (&s), ==, 1000 + FIRST_US);
-  g_assert_cmpint (stall_state (&s, 999 + FIRST_US), ==, STALL_COMING);
-  g_assert_cmpint (stall_state (&s, 1000 + FIRST_US), ==, STALL_SILENT);
-  stall_byte (&s, 5000);
-  g_assert_cmpint (stall_state (&s, 4999 + MORE_US), ==, STALL_COMING);
-  g_assert_cmpint (stall_state (&s, 5000 + MORE_US), ==, STALL_MIDWAY);
+  struct stall s
+      = { .first_byte_limit_us = FIRST_US, .next_byte_limit_us = MORE_US };
+
+  s.progress_us = 1000;
+  g_assert_cmpint (stall_deadline_us (&s), ==, 1000 + FIRST_US);
+  g_assert_cmpint (stall_state (&s, 999 + FIRST_US), ==, STALL_NONE);
+  g_assert_cmpint (stall_state (&s, 1000 + FIRST_US), ==, STALL_NO_FIRST_BYTE);
+  stall_byte_received (&s, 5000);
+  g_assert_cmpint (stall_state (&s, 4999 + MORE_US), ==, STALL_NONE);
+  g_assert_cmpint (stall_state (&s, 5000 + MORE_US), ==, STALL_NO_NEXT_BYTE);
 }
 
 /* Transfers without such limits wait for as long as they like. */
 static void
 test_stall_no_limit (void)
 {
-  struct stall s = { .since_us = 1000 };
+  struct stall s = { .progress_us = 1000 };
 
-  g_assert_cmpint (stall_due_us (&s), ==, INT64_MAX);
-  stall_byte (&s, 2000);
-  g_assert_cmpint (stall_state (&s, INT64_MAX - 1), ==, STALL_COMING);
+  g_assert_cmpint (stall_deadline_us (&s), ==, INT64_MAX);
+  stall_byte_received (&s, 2000);
+  g_assert_cmpint (stall_state (&s, INT64_MAX - 1), ==, STALL_NONE);
 }
 
 /* --- outcome --------------------------------------------------------- */
--- a/relay.c
+++ b/relay.c
@@ -59,7 +59,7 @@
     {
     case FLEET_IDEMPOTENT:
       return true;
-    case FLEET_ONCE:
+    case FLEET_AT_MOST_ONCE:
       return false;
     case FLEET_STREAM:
       return r->route->resumable;
@@ -77,7 +77,8 @@
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  return !r->route->anonymous && fleet_age_us (o->fleet, now_us) > o->stale_us;
+  return !r->route->anonymous
+         && fleet_conf_age_us (o->fleet, now_us) > o->stale_us;
 }
 
 /* Whether the key still opens the route by the newest configuration. */
@@ -113,7 +114,7 @@
   if (r->endpoint == NULL)
     return;
   relay_read (r, now_us);
-  pick_ended (r->endpoint);
+  pick_request_ended (r->endpoint);
   fleet_endpoint_unref (r->endpoint);
   r->endpoint = NULL;
   relay_tell_work (r, now_us);
@@ -211,7 +212,7 @@
              " conf_age_us=%" G_GINT64_FORMAT,
              d->id, d->host, outcome, reason,
              (gint64)(f->conf != NULL ? f->conf->version : 0),
-             (gint64)fleet_age_us (f, now_us));
+             (gint64)fleet_conf_age_us (f, now_us));
 }
 
 /* Refuse a request that leads nowhere. */
@@ -240,7 +241,7 @@
 deny (struct relays *rs, const struct relay_desc *d, enum relay_refusal why,
       const char *reason, int64_t now_us)
 {
-  if (fleet_age_us (rs->opts.fleet, now_us) < rs->opts.deny_us)
+  if (fleet_conf_age_us (rs->opts.fleet, now_us) < rs->opts.deny_us)
     refuse_early (rs, d, why, reason, now_us);
   else
     refuse_early (rs, d, RELAY_NOT_RUN, "settings_behind", now_us);
@@ -259,7 +260,7 @@
                 const struct fleet_workspace **workspace, int64_t now_us)
 {
   const struct fleet *f = rs->opts.fleet;
-  bool stale = fleet_age_us (f, now_us) > rs->opts.stale_us;
+  bool stale = fleet_conf_age_us (f, now_us) > rs->opts.stale_us;
 
   *workspace = NULL;
   if (d->key != NULL)
@@ -284,7 +285,7 @@
   r->desc = *d;
   r->conf = fleet_conf_ref (rs->opts.fleet->conf);
   r->route = route;
-  r->service = fleet_split_pick (route, digest);
+  r->service = fleet_split_select (route, digest);
   r->shared = need_service (rs, r->service);
   r->arrived_us = now_us;
   r->end_us = now_us + route->timeout_us;
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -97,8 +97,8 @@
   struct admit_seen seen = { .running = r->running, .waiting = r->waiting };
 
   seen.wait_us = now_us - r->sent_us;
-  seen.target_us = r->route->target_us;
-  pick_first (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
+  seen.target_us = r->route->target_latency_us;
+  pick_first_chunk (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
   /* A caller who leaves early does so for reasons of its own. */
   if (r->first_us == 0 && seen.wait_us < seen.target_us)
     return;
@@ -114,10 +114,10 @@
 {
   int64_t p = PATIENCE_MIN_US;
 
-  if (r->route->target_us * PATIENCE_TARGETS > p)
-    p = r->route->target_us * PATIENCE_TARGETS;
-  if (r->route->gap_us * PATIENCE_GAPS > p)
-    p = r->route->gap_us * PATIENCE_GAPS;
+  if (r->route->target_latency_us * PATIENCE_TARGETS > p)
+    p = r->route->target_latency_us * PATIENCE_TARGETS;
+  if (r->route->event_gap_us * PATIENCE_GAPS > p)
+    p = r->route->event_gap_us * PATIENCE_GAPS;
   return p;
 }
 
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -89,9 +89,9 @@
 static void
 take_notice (struct suspect *s, const struct notice *notice, int64_t now_us)
 {
-  struct notice_from from = { .source = "probe", .sent_us = s->probed_us };
+  struct notice_origin from = { .source = "probe", .sent_us = s->probed_us };
 
-  notice_take (s->endpoint, notice, &from, now_us);
+  notice_apply (s->endpoint, notice, &from, now_us);
 }
 
 static void
--- a/relaytry.c
+++ b/relaytry.c
@@ -61,8 +61,8 @@
 is_outdated (const struct relay *r, int64_t limit_us, int64_t now_us)
 {
   return limit_us > 0
-         && fleet_outdated_for (r->rs->opts.fleet, r->endpoint, limit_us,
-                                now_us);
+         && fleet_is_outdated_for (r->rs->opts.fleet, r->endpoint, limit_us,
+                                   now_us);
 }
 
 /*
@@ -115,7 +115,7 @@
     r->stopped = STOPPED_LEFT;
   else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->is.domain))
     r->stopped = STOPPED_EVACUATED;
-  else if (is_outdated (r, r->rs->opts.fleet->old_max_us, now))
+  else if (is_outdated (r, r->rs->opts.fleet->outdated_accept_us, now))
     r->stopped = STOPPED_OUTDATED;
   else if (caller_left (r))
     r->stopped = "caller_gone";
@@ -124,7 +124,7 @@
     r->stopped = STOPPED_COLD;
   else if (!limit_may_send (&r->endpoint->limit, now))
     r->stopped = STOPPED_LIMITED;
-  else if (pick_rests (r->endpoint, now))
+  else if (pick_is_backoff_requested (r->endpoint, now))
     r->stopped = STOPPED_RESTING;
   else
     check_hold (r, now);
@@ -154,7 +154,7 @@
   if (head->other_life || !(head->genuine || head->not_run))
     return;
   if (head->version > 0)
-    fleet_take_version (r->endpoint, head->version, r->sent_us, now_us);
+    fleet_apply_version (r->endpoint, head->version, r->sent_us, now_us);
   else if (head->other_weights && r->sent_us > r->endpoint->version_us)
     fleet_doubt_version (r->endpoint);
 }
@@ -167,12 +167,12 @@
 static void
 take_notice (struct relay *r, const struct relay_head *head, int64_t now_us)
 {
-  struct notice_from from = { .source = "answer", .sent_us = r->sent_us };
+  struct notice_origin from = { .source = "answer", .sent_us = r->sent_us };
 
   if (head->other_life)
     return;
-  from.whole = head->genuine && !head->not_run;
-  notice_take (r->endpoint, &head->notice, &from, now_us);
+  from.has_all_notices = head->genuine && !head->not_run;
+  notice_apply (r->endpoint, &head->notice, &from, now_us);
 }
 
 static bool
@@ -186,7 +186,7 @@
   r->running = head->running;
   r->waiting = head->waiting;
   if (head->running >= 0)
-    pick_reported (r->endpoint, head->running + head->waiting, now);
+    pick_load_reported (r->endpoint, head->running + head->waiting, now);
   take_version (r, head, now);
   take_notice (r, head, now);
   /* That life is over, so nothing was sent to an endpoint of the service. */
@@ -218,9 +218,9 @@
     {
       r->begun = true;
       r->first_us = loop_now_us ();
-      pick_learn (r->rs->opts.fleet, r->endpoint,
-                  r->ahead + r->shared_unread + r->work.own,
-                  r->first_us - r->sent_us);
+      pick_learn_prefill_rate (r->rs->opts.fleet, r->endpoint,
+                               r->ahead + r->shared_unread + r->work.own,
+                               r->first_us - r->sent_us);
       met_observe (MET_FIRST_TOKEN, r->first_us - r->arrived_us);
       relay_waited (r, r->first_us);
       r->desc.caller->begin (r->desc.arg, r->status,
@@ -346,13 +346,13 @@
   struct fleet_endpoint *e = r->endpoint;
 
   if (sent == SEND_WHOLE)
-    pick_worked (e);
+    pick_request_succeeded (e);
   else if (sent == SEND_REFUSED)
-    pick_refused (e, now_us);
+    pick_overload_refused (e, now_us);
   else if (r->absent)
-    pick_absent (e, now_us);
+    pick_connection_refused (e, now_us);
   else if (r->stopped == NULL || strcmp (r->stopped, "not_genuine") == 0)
-    pick_failed (e, now_us);
+    pick_request_failed (e, now_us);
 }
 
 static void
@@ -457,13 +457,14 @@
                alone ? r->workspace->name : NULL);
 }
 
-static struct fleet_homes
+static struct fleet_region_limits
 homes_of (const struct relay *r)
 {
-  struct fleet_homes h = { .route = (const char *const *)r->route->homes };
+  struct fleet_region_limits h
+      = { .route = (const char *const *)r->route->allowed_regions };
 
   if (r->workspace != NULL)
-    h.workspace = (const char *const *)r->workspace->homes;
+    h.workspace = (const char *const *)r->workspace->allowed_regions;
   return h;
 }
 
@@ -481,9 +482,9 @@
     return;
   q.n = r->desc.nparts;
   q.domain = c->endpoint->is.domain;
-  q.fresh_us = o->fleet->fresh_us;
+  q.fresh_us = o->fleet->conf_current_us;
   q.outdated = newer != NULL;
-  q.named_us = MAX (fleet_outdated_since (o->fleet, c->endpoint), 0);
+  q.named_us = MAX (fleet_earliest_outdated_us (o->fleet, c->endpoint), 0);
   q.wait_us = c->wait_us;
   q.fleet = o->fleet;
   q.homes = homes_of (r);
@@ -496,7 +497,7 @@
 newer_us (const struct fleet *f, const struct fleet_endpoint *e,
           int64_t now_us)
 {
-  int64_t since = fleet_outdated_since (f, e);
+  int64_t since = fleet_earliest_outdated_us (f, e);
 
   if (fleet_outdated_by (f, e) == NULL)
     return 0;
@@ -514,13 +515,13 @@
 time_for (const struct relay *r, int64_t now_us)
 {
   const struct fleet *f = r->rs->opts.fleet;
-  int64_t since = fleet_outdated_since (f, r->endpoint);
+  int64_t since = fleet_earliest_outdated_us (f, r->endpoint);
   int64_t left = r->end_us - now_us;
 
-  if (f->old_end_us == 0 || r->route->kind != FLEET_STREAM
+  if (f->outdated_start_us == 0 || r->route->kind != FLEET_STREAM
       || fleet_outdated_by (f, r->endpoint) == NULL || since == FLEET_NEVER)
     return left;
-  return MIN (left, since + f->old_end_us - now_us);
+  return MIN (left, since + f->outdated_start_us - now_us);
 }
 
 static void
@@ -532,12 +533,12 @@
   struct relay_send s = { .desc = &r->desc, .endpoint = c->endpoint };
 
   r->endpoint = fleet_endpoint_ref (c->endpoint);
-  pick_sent (r->endpoint);
+  pick_request_sent (r->endpoint);
   if (cold_is (&r->endpoint->cold, now_us))
-    pace_place (&r->endpoint->cold.pace, now_us);
-  pace_place (&r->endpoint->limit.pace, now_us);
+    pace_placed (&r->endpoint->cold.pace, now_us);
+  pace_placed (&r->endpoint->limit.pace, now_us);
   r->unread = true;
-  r->ahead = c->ahead;
+  r->ahead = c->pending_prefill_tokens;
   r->shared_unread = c->has_part ? 0 : r->work.shared - r->work.stored;
   r->handed_over = false;
   r->stopped = NULL;
@@ -577,13 +578,14 @@
       " left_us=%" G_GINT64_FORMAT " conf=%" G_GINT64_FORMAT
       " conf_age_us=%" G_GINT64_FORMAT,
       r->desc.id, r->route->name, c->endpoint->is.id, c->load, c->candidates,
-      c->over_bound, (gint64)c->ahead, (gint64)c->held, (gint64)c->wait_us,
-      r->kept.nfetch, r->kept.nsave, (gint64)r->kept.fetch_tokens,
-      (gint64)s.version, (gint64)(newer != NULL ? newer->version : 0),
+      c->over_bound, (gint64)c->pending_prefill_tokens, (gint64)c->kv_tokens,
+      (gint64)c->wait_us, r->kept.nfetch, r->kept.nsave,
+      (gint64)r->kept.fetch_tokens, (gint64)s.version,
+      (gint64)(newer != NULL ? newer->version : 0),
       (gint64)newer_us (o->fleet, c->endpoint, now_us),
-      (gint64)(r->endpoint->limit.named ? r->endpoint->limit.milli : -1),
+      (gint64)(r->endpoint->limit.active ? r->endpoint->limit.milli_rps : -1),
       (gint64)s.left_us, (gint64)r->conf->version,
-      (gint64)fleet_age_us (o->fleet, now_us));
+      (gint64)fleet_conf_age_us (o->fleet, now_us));
   relay_tell_work (r, now_us);
   r->call = o->engine.send (o->engine.ctx, &s, &events, r);
 }
@@ -621,11 +623,11 @@
     met_add (MET_COLD, 1);
   else if (code == PICK_LIMITED)
     met_add (MET_LIMITED, 1);
-  else if (code == PICK_RESTING)
+  else if (code == PICK_BACKOFF)
     met_add (MET_RESTING, 1);
   else if (code == PICK_EVACUATED)
     met_add (MET_EVACUATED, 1);
-  else if (code == PICK_ABROAD)
+  else if (code == PICK_REGION_NOT_ALLOWED)
     met_add (MET_ABROAD, 1);
 }
 
@@ -661,7 +663,7 @@
   relay_weigh (r, now_us);
   q.work = r->work;
   q.loads = o->loads;
-  fleet_judge_rates (o->fleet, now_us);
+  fleet_refresh_rate_shares (o->fleet, now_us);
   c = pick_endpoint (o->fleet, &q, now_us);
   if (c.code == PICK_CHOSEN && is_refused (r, &c, now_us))
     refuse_late (r, now_us);
@@ -671,7 +673,7 @@
     {
       count_unplaced (c.code);
       give_up_unplaced (r, pick_code_name (c.code),
-                        MAX (c.rest_us, RETRY_SOON_US), now_us);
+                        MAX (c.backoff_us, RETRY_SOON_US), now_us);
     }
 }
 
@@ -705,7 +707,7 @@
 relay_waits_too_long (const struct relay *r, int64_t now_us)
 {
   return r->call != NULL && !r->answering && r->route->kind == FLEET_STREAM
-         && is_outdated (r, r->rs->opts.fleet->old_end_us, now_us);
+         && is_outdated (r, r->rs->opts.fleet->outdated_start_us, now_us);
 }
 
 void
--- a/relaywork.c
+++ b/relaywork.c
@@ -50,7 +50,8 @@
     r->work.shared += r->desc.parts[i].tokens;
   r->work.own = r->desc.parts[i].tokens;
   r->work.part = part_digest (r, alone);
-  r->heavy = (r->work.shared + r->work.own) * SMALL_PART > sv->memory_tokens;
+  r->heavy
+      = (r->work.shared + r->work.own) * SMALL_PART > sv->kv_capacity_tokens;
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
@@ -86,16 +87,16 @@
   struct load_entry *e;
   int i;
 
-  for (i = 0; i < w->n; i++)
+  for (i = 0; i < w->nentries; i++)
     if (w->entries[i].endpoint == r->endpoint->key
         && w->entries[i].part == r->work.part)
       return &w->entries[i];
-  if (w->n == LOAD_ENTRIES_MAX)
+  if (w->nentries == LOAD_ENTRIES_MAX)
     return NULL;
-  e = &w->entries[w->n++];
+  e = &w->entries[w->nentries++];
   *e = (struct load_entry){ .endpoint = r->endpoint->key,
                             .part = r->work.part,
-                            .shared_held = r->work.shared };
+                            .shared_kv_tokens = r->work.shared };
   return e;
 }
 
@@ -107,7 +108,7 @@
   const struct relay *r;
   struct load_entry *e;
 
-  w->n = 0;
+  w->nentries = 0;
   APR_RING_FOREACH (r, &rs->all, relay, link)
   {
     if (r->endpoint == NULL || !r->heavy)
@@ -115,10 +116,11 @@
     e = entry_of (w, r);
     if (e == NULL)
       continue;
-    e->held += r->work.own;
+    e->kv_tokens += r->work.own;
     if (!r->unread)
       continue;
-    e->unread += r->work.own;
-    e->shared_unread = MAX (e->shared_unread, r->shared_unread);
+    e->pending_prefill_tokens += r->work.own;
+    e->shared_pending_prefill_tokens
+        = MAX (e->shared_pending_prefill_tokens, r->shared_unread);
   }
 }
--- a/tell.c
+++ b/tell.c
@@ -234,15 +234,15 @@
   guint i, sent = 0;
 
   t->opts.gather (t->opts.ctx, &t->word);
-  t->word.beat++;
-  load_take (t->opts.book, &t->word, now_us);
+  t->word.seq++;
+  load_update (t->opts.book, &t->word, now_us);
   bytes = tell_encode (&t->word);
   for (i = 0; i < t->listeners->len && sent < LISTENERS_MAX; i++)
     {
       apr_size_t len = bytes->len;
 
       l = t->listeners->pdata[i];
-      if (is_quiet (l, now_us) && (t->word.beat + i) % QUIET_EVERY != 0)
+      if (is_quiet (l, now_us) && (t->word.seq + i) % QUIET_EVERY != 0)
         continue;
       /* A full buffer loses a word, as the way does. */
       apr_socket_sendto (t->sock, l->to, 0, (const char *)bytes->data, &len);
@@ -274,7 +274,7 @@
   load_expire (t->opts.book, now_us);
   send_word (t, now_us);
   loop_arm (t->opts.loop, &t->say,
-            now_us + (t->word.n > 0 ? AGAIN_US : IDLE_US));
+            now_us + (t->word.nentries > 0 ? AGAIN_US : IDLE_US));
 }
 
 void
@@ -303,7 +303,7 @@
       met_add (MET_LOADS_UNREAD, 1);
       return;
     }
-  if (!load_take (t->opts.book, &w, now_us))
+  if (!load_update (t->opts.book, &w, now_us))
     return;
   met_add (MET_LOADS_HEARD, 1);
   l = find (t, w.vm);
@@ -563,7 +563,7 @@
 {
   if (!t->listed)
     return 0;
-  return cold_part (rate, count_listed (t), rank_for (t, endpoint));
+  return cold_share (rate, count_listed (t), rank_for (t, endpoint));
 }
 
 int64_t
@@ -574,15 +574,15 @@
   uint64_t turn = 0;
 
   if (!t->listed)
-    return LIMIT_LOOK_US;
-  if (limit_takes_turns (milli, vms))
+    return LIMIT_PROBE_INTERVAL_US;
+  if (limit_is_rotated (milli, vms))
     {
-      if (limit_is_between (clock_ms))
+      if (limit_is_rotation_pause (clock_ms))
         return 0;
-      turn = limit_turn (clock_ms);
+      turn = limit_rotation (clock_ms);
     }
   endpoint = XXH3_64bits_withSeed (&endpoint, sizeof endpoint, turn);
-  return limit_gap_us (milli, vms, rank_for (t, endpoint));
+  return limit_interval_us (milli, vms, rank_for (t, endpoint));
 }
 
 bool
@@ -612,7 +612,7 @@
   g_strlcpy (t->self.domain, opts->domain, sizeof t->self.domain);
   g_strlcpy (t->word.vm, opts->vm, sizeof t->word.vm);
   g_strlcpy (t->word.domain, opts->domain, sizeof t->word.domain);
-  t->word.life = (uint64_t)g_get_real_time ();
+  t->word.incarnation = (uint64_t)g_get_real_time ();
   t->say.fire = on_say;
   t->say.arg = t;
   t->list.fire = on_list_due;
@@ -627,7 +627,7 @@
   loop_watch (opts->loop, t->watch, true, false);
   log_event (LOG_LEVEL_INFO, "tell_listen",
              "address=%s life=%" G_GUINT64_FORMAT, t->self.address,
-             (guint64)t->word.life);
+             (guint64)t->word.incarnation);
   plan_list (t, loop_now_us ());
   return t;
 }
--- a/tellword.c
+++ b/tellword.c
@@ -12,7 +12,7 @@
 tell_encode (const struct load_gossip *w)
 {
   struct peer_work_entry entries[LOAD_ENTRIES_MAX];
-  peer_work work = { .life = w->life, .beat = w->beat };
+  peer_work work = { .life = w->incarnation, .beat = w->seq };
   GByteArray *out = g_byte_array_new ();
   char buf[WORD_MAX_BYTES];
   XDR x;
@@ -20,18 +20,19 @@
 
   work.vm = (char *)w->vm;
   work.domain = (char *)w->domain;
-  work.entries.entries_len = (u_int)w->n;
+  work.entries.entries_len = (u_int)w->nentries;
   work.entries.entries_val = entries;
-  for (i = 0; i < w->n; i++)
+  for (i = 0; i < w->nentries; i++)
     {
       const struct load_entry *e = &w->entries[i];
 
       entries[i].endpoint = e->endpoint;
       entries[i].part = e->part;
-      entries[i].unread = (u_int)MIN (e->unread, TOKENS_MAX);
-      entries[i].held = (u_int)MIN (e->held, TOKENS_MAX);
-      entries[i].shared_unread = (u_int)MIN (e->shared_unread, TOKENS_MAX);
-      entries[i].shared_held = (u_int)MIN (e->shared_held, TOKENS_MAX);
+      entries[i].unread = (u_int)MIN (e->pending_prefill_tokens, TOKENS_MAX);
+      entries[i].held = (u_int)MIN (e->kv_tokens, TOKENS_MAX);
+      entries[i].shared_unread
+          = (u_int)MIN (e->shared_pending_prefill_tokens, TOKENS_MAX);
+      entries[i].shared_held = (u_int)MIN (e->shared_kv_tokens, TOKENS_MAX);
     }
   xdrmem_create (&x, buf, sizeof buf, XDR_ENCODE);
   if (xdr_peer_work (&x, &work))
@@ -47,19 +48,20 @@
 
   g_strlcpy (w->vm, work->vm, sizeof w->vm);
   g_strlcpy (w->domain, work->domain, sizeof w->domain);
-  w->life = work->life;
-  w->beat = work->beat;
-  w->n = (int)work->entries.entries_len;
+  w->incarnation = work->life;
+  w->seq = work->beat;
+  w->nentries = (int)work->entries.entries_len;
   for (i = 0; i < work->entries.entries_len; i++)
     {
       const peer_work_entry *e = &work->entries.entries_val[i];
 
       w->entries[i].endpoint = e->endpoint;
       w->entries[i].part = e->part;
-      w->entries[i].unread = MIN (e->unread, TOKENS_MAX);
-      w->entries[i].held = MIN (e->held, TOKENS_MAX);
-      w->entries[i].shared_unread = MIN (e->shared_unread, TOKENS_MAX);
-      w->entries[i].shared_held = MIN (e->shared_held, TOKENS_MAX);
+      w->entries[i].pending_prefill_tokens = MIN (e->unread, TOKENS_MAX);
+      w->entries[i].kv_tokens = MIN (e->held, TOKENS_MAX);
+      w->entries[i].shared_pending_prefill_tokens
+          = MIN (e->shared_unread, TOKENS_MAX);
+      w->entries[i].shared_kv_tokens = MIN (e->shared_held, TOKENS_MAX);
     }
 }
 
--- a/xfer.c
+++ b/xfer.c
@@ -187,7 +187,7 @@
 static void
 arm_quiet (struct xfer *x)
 {
-  int64_t due = stall_due_us (&x->wait);
+  int64_t due = stall_deadline_us (&x->wait);
 
   if (due < INT64_MAX)
     loop_arm (x->pool->loop, &x->quiet, due);
@@ -198,10 +198,10 @@
 static void
 note_byte (struct xfer *x)
 {
-  bool first = !x->wait.begun;
+  bool first = !x->wait.started;
 
   x->doubted = false;
-  stall_byte (&x->wait, loop_now_us ());
+  stall_byte_received (&x->wait, loop_now_us ());
   if (first)
     arm_quiet (x);
 }
@@ -309,7 +309,7 @@
   struct xfer *x = arg;
   enum stall_state state = stall_state (&x->wait, now_us);
 
-  if (state == STALL_COMING)
+  if (state == STALL_NONE)
     {
       arm_quiet (x);
       return;
@@ -321,7 +321,7 @@
       loop_arm (x->pool->loop, &x->quiet, now_us + 1);
       return;
     }
-  x->stalled = state == STALL_MIDWAY;
+  x->stalled = state == STALL_NO_NEXT_BYTE;
   g_strlcpy (x->error,
              x->stalled ? "no further byte of the reply in time"
                         : "no byte of the reply in time",
@@ -535,12 +535,12 @@
   set_request (x, opts);
   set_transport (x, opts);
   set_callbacks (x);
-  x->wait.first_us = opts->first_ms * 1000;
-  x->wait.more_us = opts->stall_ms * 1000;
-  x->wait.since_us = loop_now_us ();
+  x->wait.first_byte_limit_us = opts->first_ms * 1000;
+  x->wait.next_byte_limit_us = opts->stall_ms * 1000;
+  x->wait.progress_us = loop_now_us ();
   x->quiet.fire = on_quiet;
   x->quiet.arg = x;
-  bound_idle (p, opts, x->wait.since_us);
+  bound_idle (p, opts, x->wait.progress_us);
   curl_multi_add_handle (p->multi, x->easy);
   arm_quiet (x);
   return x;
