--- a/fleet.h
+++ b/fleet.h
@@ -1,9 +1,10 @@
 /*
- * What a VM believes of the fleet it serves: the operators' routes, services,
- * workspaces and keys, the endpoints, and the weight versions wanted.
+ * What a VM knows of the fleet that it serves: the operators' routes,
+ * services, workspaces and keys, the endpoints, and the announced weight
+ * versions.
  *
- * An adapter decodes what its platform says into these types; everything that
- * decides reads only them.  Present time is an argument; times are
+ * An adapter decodes what its platform says into these types; the code that
+ * makes decisions reads only them.  The current time is an argument; times are
  * microseconds of CLOCK_BOOTTIME.
  */
 #ifndef CQ_FLEET_H
@@ -20,12 +21,13 @@
 
 /* --- the operators' configuration ------------------------------------ */
 
-/* What may be repeated, and how the answer comes. */
+/* Whether a request may be repeated, and the form of its answer. */
 enum fleet_kind
 {
   FLEET_IDEMPOTENT,   /* may run more than once */
-  FLEET_AT_MOST_ONCE, /* runs at most once */
-  FLEET_STREAM        /* events; at most once unless it may resume */
+  FLEET_AT_MOST_ONCE, /* may run at most once */
+  FLEET_STREAM        /* a stream of events; at most once unless it is
+                         resumable */
 };
 
 /* A service that gets a share of a route's requests. */
@@ -39,17 +41,19 @@
 {
   char *name;                 /* for logs */
   char *host;                 /* Host header, without a port */
-  char *prefix;               /* head of the path, from slash to slash */
-  enum fleet_kind kind;       /* what may be repeated */
+  char *prefix;               /* path prefix; begins and ends with a slash */
+  enum fleet_kind kind;       /* whether requests may be repeated */
   int64_t timeout_us;         /* longest wait for the answer */
-  int64_t target_latency_us;  /* time in which an answer is worth most */
-  int64_t event_gap_us;       /* longest pause between events, 0 if none */
-  int priority;               /* 0 goes first */
+  int64_t target_latency_us;  /* latency target of an answer */
+  int64_t event_gap_us;       /* target for the pause between events, 0 if
+                                 none */
+  int priority;               /* 0 is the most urgent */
   int max_attempts;           /* endpoints one request may be sent to */
   bool anonymous;             /* no key is needed */
-  bool sticky;                /* prompts share heads worth finding again */
-  bool resumable;             /* a stream may go on at another endpoint */
-  char **allowed_regions;     /* regions it may use; NULL for all */
+  bool sticky;                /* place prompts with a common prefix together */
+  bool resumable;             /* a broken stream may resume at another
+                                 endpoint */
+  char **allowed_regions;     /* regions its requests may use; NULL for all */
   struct fleet_split *splits; /* where its requests go */
   int nsplits;                /* entries in splits, at least one */
 };
@@ -57,40 +61,41 @@
 /* A service as the operator declared it. */
 struct fleet_service
 {
-  char *name;                 /* named by splits and endpoints */
-  char *model;                /* of its engines; NULL for a plain service */
-  int64_t kv_capacity_tokens; /* of KV cache that it holds, 0 if unknown */
-  int64_t kv_token_bytes; /* of a token in an engine's cache, 0 if unknown */
-  char *domain;           /* failure domain of a store, or NULL */
-  int64_t link_mbit_s;    /* its link, 0 if unknown */
-  int64_t
-      transfer_latency_us; /* that each of its transfers waits in addition */
-  char *store_address;     /* IP:PORT if it is a store of kept KV cache */
-  int calls_max;           /* that a store holds at once; 0 if unsaid */
-  int64_t cold_start_us;   /* an endpoint is cold for so long after a start */
-  int cold_requests_s;     /* requests a second that it bears then */
+  char *name;                  /* named by splits and endpoints */
+  char *model;                 /* model of its engines; NULL for a plain
+                                  service */
+  int64_t kv_capacity_tokens;  /* KV cache capacity of an endpoint, 0 if
+                                  unknown */
+  int64_t kv_token_bytes;      /* KV cache bytes of a token, 0 if unknown */
+  char *domain;                /* failure domain of a store, or NULL */
+  int64_t link_mbit_s;         /* link bandwidth, 0 if unknown */
+  int64_t transfer_latency_us; /* fixed latency of each transfer */
+  char *store_address;         /* IP:PORT if it is a KV cache store, or NULL */
+  int calls_max;         /* calls that a store takes at once; 0 if unknown */
+  int64_t cold_start_us; /* how long an endpoint is cold after a start */
+  int cold_requests_s;   /* request rate that a cold endpoint can take */
 };
 
 struct fleet_workspace
 {
-  char *name;             /* told to endpoints */
-  int priority;           /* goes before the route's; -1 if it has none */
-  bool isolated;          /* shares no cached work with others */
+  char *name;             /* name, sent to endpoints */
+  int priority;           /* overrides the route's priority; -1 if none */
+  bool isolated;          /* shares no cached prompts with other workspaces */
   char **allowed_regions; /* regions its requests may use; NULL for all */
 };
 
 /* Bounds on what a caller may send. */
 struct fleet_limits
 {
-  int64_t body_bytes; /* of one request */
-  int64_t idle_us;    /* a connection without a request */
+  int64_t body_bytes; /* body of one request */
+  int64_t idle_us;    /* longest idle time of a connection */
 };
 
 /* One configuration; immutable once built, shared by reference. */
 struct fleet_conf
 {
-  int refs;              /* holders */
-  int64_t version;       /* the operator's number; grows */
+  int refs;              /* reference count */
+  int64_t version;       /* the operator's version number; only increases */
   GPtrArray *routes;     /* struct fleet_route */
   GHashTable *services;  /* name to struct fleet_service */
   GPtrArray *workspaces; /* struct fleet_workspace */
@@ -100,7 +105,7 @@
 };
 
 struct fleet_conf *fleet_conf_new (void);
-/* Build the index after routes were added. */
+/* Builds the index by host; call it after all routes were added. */
 void fleet_conf_build_index (struct fleet_conf *c);
 struct fleet_conf *fleet_conf_ref (struct fleet_conf *c);
 void fleet_conf_unref (struct fleet_conf *c);
@@ -108,11 +113,11 @@
 void fleet_service_free (struct fleet_service *s);
 void fleet_workspace_free (struct fleet_workspace *w);
 
-/* Route of a request, or NULL; PATH may end in a query. */
+/* Returns the route of a request, or NULL; PATH may end in a query string. */
 const struct fleet_route *fleet_route_find (const struct fleet_conf *c,
                                             const char *host,
                                             const char *path);
-/* Service that gets the request with this digest. */
+/* Returns the service that the traffic split selects for DIGEST. */
 const char *fleet_split_select (const struct fleet_route *r, uint64_t digest);
 
 /* --- endpoints ------------------------------------------------------- */
@@ -120,277 +125,313 @@
 #define FLEET_NAME_SIZE 64 /* bytes of an id, address or name with its NUL */
 
 /*
- * An endpoint as the platform lists it.  It may start again under its id, and
- * then holds and knows nothing of before: its id and its start together are
- * one life.
+ * An endpoint as the platform lists it.  It may restart under the same id, and
+ * then has lost all its state: the id and the start time together identify one
+ * incarnation.
  */
 struct fleet_listing
 {
-  char id[FLEET_NAME_SIZE];      /* of the endpoint, in all its lives */
-  int64_t started_ms;            /* start of this life, Unix time; 0: unsaid */
+  char id[FLEET_NAME_SIZE];      /* id of the endpoint, the same in all
+                                    incarnations */
+  int64_t started_ms;            /* start of this incarnation, Unix time; 0 if
+                                    unknown */
   char address[FLEET_NAME_SIZE]; /* IP:PORT */
-  char service[FLEET_NAME_SIZE]; /* that it serves */
+  char service[FLEET_NAME_SIZE]; /* service that it belongs to */
   char domain[FLEET_NAME_SIZE];  /* failure domain */
-  char model[FLEET_NAME_SIZE];   /* whose weights it has; "" if plain */
-  int64_t version;               /* of these weights */
-  int slots;                     /* requests it runs at once */
-  bool draining;                 /* it is leaving */
-  int64_t cold_us;               /* it stays cold for so long, by its entry */
+  char model[FLEET_NAME_SIZE];   /* model whose weights it has; "" if plain */
+  int64_t version;               /* version of these weights */
+  int slots;                     /* requests that it runs concurrently */
+  bool draining;                 /* it drains and takes no new requests */
+  int64_t cold_us;               /* remaining cold time by its entry */
 };
 
-/* A wait as this VM sees it. */
+/* An exponentially weighted moving average of latencies that this VM saw. */
 struct fleet_ewma
 {
-  int64_t smoothed_us; /* over the answers seen */
-  int64_t updated_us;  /* when the last one was; 0 for never */
+  int64_t smoothed_us; /* the average */
+  int64_t updated_us;  /* time of the last sample; 0 for never */
 };
 
-/* A service as this VM sees it. */
+/* Statistics of a service on this VM. */
 struct fleet_service_stats
 {
   char service[FLEET_NAME_SIZE]; /* its name */
-  struct fleet_ewma first_chunk; /* for first pieces, over all endpoints */
-  int64_t short_prompt_us; /* smoothed first piece of prompts that are short */
-  int64_t prefill_tokens;  /* of long prompts, older ones counting less */
-  int64_t prefill_us;      /* that these took beyond a short one */
+  struct fleet_ewma first_chunk; /* time to the first chunk, over all
+                                    endpoints */
+  int64_t short_prompt_us;       /* average time to the first chunk of short
+                                    prompts */
+  int64_t prefill_tokens; /* tokens of long prompts, decayed over samples */
+  int64_t prefill_us;     /* time that these took beyond a short prompt,
+                             decayed alike */
 };
 
-/* Percent of their weight that reasons have in placing; experiments only. */
+/* Scale of the cost terms in placement, in percent; changed only in
+   experiments. */
 struct pick_factors
 {
-  int pending_prefill; /* work that is ahead at an endpoint */
-  int memory;          /* that would run out there */
-  int parts;           /* kept ones that are found where a prompt is at home */
+  int pending_prefill; /* prefill that is pending at an endpoint */
+  int memory;          /* KV cache memory that would run out there */
+  int parts;           /* stored prompt parts that the preferred endpoint
+                          has */
 };
 
-/* One life of an endpoint on this VM.  A younger one gets a struct of its own:
-   so nothing that was believed of a life, and nothing that a request still
-   hears from it, is taken for the next one's. */
+/* One incarnation of an endpoint, as this VM knows it.  A newer incarnation
+   gets a struct of its own, so that nothing known of an older one, and no late
+   answer from it, is attributed to the newer one. */
 struct fleet_endpoint
 {
   APR_RING_ENTRY (fleet_endpoint) link; /* in the fleet's list */
   struct fleet_listing is;              /* last listing */
-  int refs;                             /* the list, and requests at it */
-  bool draining;            /* sticky: some source said that it leaves */
-  bool gone;                /* it is listed no more */
-  int64_t missing_since_us; /* missing since, while that is doubted; or 0 */
-  int64_t version;          /* weights by its last word on any channel */
-  int64_t version_us;       /* when that word came */
-  bool version_doubted;     /* it refused these weights and named no others */
-  uint64_t key;             /* of this life, among VMs */
-  int running;              /* our requests at it */
-  int reported_running;     /* requests it runs and holds, by its report */
-  int64_t reported_us;      /* when it said so; 0 for never */
-  int sent_since;           /* our sends since then, less our ends */
-  int failures;             /* in a row */
-  int64_t backoff_until_us; /* gets nothing until then, after failures */
-  int64_t full_until_us;    /* it refused for want of room: last choice */
-  int64_t requested_backoff_until_us; /* it wants nothing from this VM until
-                                         then */
-  int64_t reload_ordered_us; /* when its weights were ordered, 0 if not */
-  struct cold cold;          /* whether it bears but a low rate, and whose */
-  struct limit limit;        /* that it named for all VMs */
-  struct fleet_ewma first_chunk; /* for the first piece of its answers */
+  int refs;                             /* references: the list, and the
+                                           requests at it */
+  bool draining;            /* sticky: some source reported that it drains */
+  bool gone;                /* it is no longer listed */
+  int64_t missing_since_us; /* missing from the list since, while its removal
+                               is unconfirmed; or 0 */
+  int64_t version;          /* weight version by its latest report on any
+                               channel */
+  int64_t version_us;       /* when that report arrived */
+  bool version_doubted;     /* it refused work on these weights and did not
+                               report its version */
+  uint64_t key;             /* hash of id and start time, the same on all
+                               VMs */
+  int running;              /* requests of this VM at it */
+  int reported_running;     /* requests that it runs and queues, by its
+                               report */
+  int64_t reported_us;      /* time of that report; 0 for never */
+  int sent_since;           /* requests sent since then, minus those that
+                               ended */
+  int failures;             /* consecutive failures */
+  int64_t backoff_until_us; /* backoff after failures: used only if no other
+                               endpoint can be */
+  int64_t full_until_us;    /* it refused for lack of capacity: avoided until
+                               then */
+  int64_t requested_backoff_until_us; /* backoff that it requested: it gets
+                                         nothing until then */
+  int64_t reload_ordered_us; /* when a reload of weights was ordered, 0 if
+                                not */
+  struct cold cold;          /* cold state and this VM's share of its rate */
+  struct limit limit;        /* rate limit that it reported for all VMs */
+  struct fleet_ewma first_chunk; /* time to the first chunk of its answers */
 };
 
 /* --- beliefs --------------------------------------------------------- */
 
-#define FLEET_NAMED_MAX 8 /* versions remembered for a model */
+#define FLEET_NAMED_MAX 8 /* versions that are kept for a model */
 
 /* A weight version that was named. */
 struct fleet_named
 {
   int64_t version;    /* its number */
-  int64_t learned_us; /* when this VM heard of it */
+  int64_t learned_us; /* when this VM learned of it */
 };
 
-#define FLEET_NAMING_BOUNDS_MAX 8 /* of one model */
-#define FLEET_NEVER INT64_MIN     /* as a time: not known */
+#define FLEET_NAMING_BOUNDS_MAX 8 /* bounds that are kept for a model */
+#define FLEET_NEVER INT64_MIN     /* as a time: unknown */
 
-/* No version from VERSION on had been named at AT_US.  Named versions grow,
-   and one may be named and replaced unseen: so nothing is said of a single
-   one. */
+/* A bound on announcement times: no version from VERSION on had been announced
+   at AT_US.  Announced versions only increase, and one may be announced and
+   replaced unnoticed, so a bound never concerns a single version. */
 struct fleet_naming_bound
 {
-  int64_t version; /* the lowest of them */
-  int64_t at_us;   /* then */
+  int64_t version; /* the lowest version that the bound covers */
+  int64_t at_us;   /* time at which none of them had been announced */
 };
 
-/* Weight versions named for a model, oldest first. */
+/* Weight versions announced for a model, oldest first. */
 struct fleet_wanted
 {
   char model[FLEET_NAME_SIZE];               /* model */
-  int64_t version;                           /* newest version named */
-  struct fleet_named named[FLEET_NAMED_MAX]; /* the newest ones */
+  int64_t version;                           /* newest version that was
+                                                announced */
+  struct fleet_named named[FLEET_NAMED_MAX]; /* the newest versions */
   int nnamed;                                /* entries in named */
-  struct fleet_naming_bound bounds[FLEET_NAMING_BOUNDS_MAX]; /* by version */
-  int nbounds; /* entries in facts */
+  struct fleet_naming_bound
+      bounds[FLEET_NAMING_BOUNDS_MAX]; /* bounds, ordered by version */
+  int nbounds;                         /* entries in bounds */
 };
 
-/* Regions that bind a request; both lists do, where there are two. */
+/* Regions that a request may use.  Where both lists are given, a region must
+   be in both. */
 struct fleet_region_limits
 {
-  const char *const *route;     /* of its route; NULL for all */
-  const char *const *workspace; /* of who asks; NULL for all */
+  const char *const *route;     /* allowed by its route; NULL for all */
+  const char *const *workspace; /* allowed by its workspace; NULL for all */
 };
 
 /* A failure domain that the operator evacuates. */
 struct fleet_evacuation
 {
   char domain[FLEET_NAME_SIZE]; /* its name */
-  int64_t missing_since_us;     /* not in a whole list since, while that is
-                                 * doubted; or 0
-                                 */
+  int64_t missing_since_us;     /* missing from complete lists since, while
+                                   the end of the evacuation is unconfirmed;
+                                   or 0 */
 };
 
 struct fleet
 {
-  struct fleet_conf *conf; /* in force; NULL while none is known */
-  int64_t conf_row;        /* change that brought it */
-  APR_RING_HEAD (fleet_ring, fleet_endpoint) endpoints; /* all listed */
-  struct fleet_ring former;  /* listed no more, oldest first: what they said of
-                                themselves binds if they are listed again */
+  struct fleet_conf *conf; /* current configuration; NULL until one is known */
+  int64_t conf_row;        /* change number of this configuration */
+  APR_RING_HEAD (fleet_ring, fleet_endpoint) endpoints; /* listed endpoints */
+  struct fleet_ring former;  /* no longer listed, oldest first; what they
+                                reported of themselves applies again if they
+                                are listed again */
   int nformer;               /* entries in former */
   GHashTable *by_id;         /* id to struct fleet_endpoint */
-  bool listed;               /* endpoints were listed once */
+  bool listed;               /* a list of endpoints was received */
   GArray *wanted;            /* struct fleet_wanted */
   GArray *service_stats;     /* struct fleet_service_stats */
   GArray *evacuated;         /* struct fleet_evacuation */
   GHashTable *regions;       /* failure domain to its region */
-  int64_t conf_current_us;   /* the configuration was current then; 0: never */
-  int64_t list_recovered_us; /* the list could be read again since */
-  struct pick_factors factors; /* as set */
-  int64_t outdated_accept_us;  /* old weights take work this long after newer
-                          ones  were named; 0 for ever */
-  int64_t outdated_start_us; /* and nothing begins on them after so long; 0: it
-                         does for ever */
-  /* This VM's part of a cold endpoint's RATE; NULL if it knows no others. */
+  int64_t conf_current_us;   /* when the configuration was last known to be the
+                                newest; 0 for never */
+  int64_t list_recovered_us; /* when the list became readable again; 0 if it
+                                was never lost */
+  struct pick_factors factors; /* scale of the cost terms */
+  int64_t outdated_accept_us;  /* outdated weights take requests until so long
+                                  after a newer version was announced; 0 for no
+                                  limit */
+  int64_t outdated_start_us; /* and nothing starts on them after so long; 0 for
+                                no limit */
+  /* This VM's share of a cold endpoint's RATE, in requests a second; NULL if
+     it knows no other VMs. */
   int (*cold_part) (void *arg, uint64_t endpoint, int rate);
-  /* Time between this VM's requests to an endpoint whose limit is MILLI; NULL
-     if it knows no others. */
-  int64_t (*limit_interval_us) (void *arg, uint64_t endpoint, int64_t milli,
-                                int64_t now_us);
-  void *share_arg; /* passed to both */
+  /* Interval between this VM's requests to an endpoint whose limit is
+     MILLI_RPS; NULL if it knows no other VMs. */
+  int64_t (*limit_interval_us) (void *arg, uint64_t endpoint,
+                                int64_t milli_rps, int64_t now_us);
+  void *share_arg; /* argument of both callbacks */
 };
 
 void fleet_init (struct fleet *f);
 void fleet_clear (struct fleet *f);
 
-/* Take over a configuration read in change ROW; false if it is not newer. */
+/* Replaces the configuration by C, which was read in change ROW, and takes
+   over the reference; returns false and releases C if it is not newer. */
 bool fleet_apply_conf (struct fleet *f, struct fleet_conf *c, int64_t row);
 
-/* A named weight version; false if it is not newer.  Neither it nor a newer
-   one was named before EARLY_US, 0 if that is not known. */
+/* Records an announced weight version; returns false if it is not newer.
+   Neither it nor a newer one was announced before NOT_BEFORE_US, 0 if that is
+   unknown. */
 bool fleet_apply_wanted (struct fleet *f, const char *model, int64_t version,
-                         int64_t early_us, int64_t now_us);
-/* What was named of all models was the newest at AT_US. */
+                         int64_t not_before_us, int64_t now_us);
+/* The announced versions of all models were the newest at AT_US. */
 void fleet_confirm_wanted (struct fleet *f, int64_t at_us);
-/* No version of MODEL from VERSION on was named before AT_US. */
+/* Records that no version of MODEL from VERSION on was announced before
+   AT_US. */
 void fleet_add_naming_bound (struct fleet *f, const char *model,
                              int64_t version, int64_t at_us);
-/* The latest such moment that is known, or FLEET_NEVER. */
+/* Returns the latest such time that is known, or FLEET_NEVER. */
 int64_t fleet_earliest_naming_us (const struct fleet *f, const char *model,
                                   int64_t version);
-/* When this VM first heard of VERSION or a newer one; FLEET_NEVER if not. */
+/* Returns when this VM first learned of VERSION or a newer one, or
+   FLEET_NEVER. */
 int64_t fleet_version_learned_us (const struct fleet *f, const char *model,
                                   int64_t version);
-/* When E's weights can have become outdated at the earliest, or FLEET_NEVER if
-   that is not known. */
+/* Returns the earliest time at which E's weights can have become outdated, or
+   FLEET_NEVER if that is unknown. */
 int64_t fleet_earliest_outdated_us (const struct fleet *f,
                                     const struct fleet_endpoint *e);
-/* When this VM heard of the first version newer than E's; 0 if E's is the
-   newest. */
+/* Returns when this VM learned of the first version newer than E's; 0 if E's
+   is the newest. */
 int64_t fleet_outdated_learned_us (const struct fleet *f,
                                    const struct fleet_endpoint *e);
-/* That version itself, or NULL. */
+/* Returns that version, or NULL. */
 const struct fleet_named *fleet_outdated_by (const struct fleet *f,
                                              const struct fleet_endpoint *e);
-/* Whether the operator configured the service that E names. */
+/* Returns whether the operator configured the service of E. */
 bool fleet_is_declared (const struct fleet *f, const struct fleet_endpoint *e);
-/* Whether E stays, serves something that the operator configured, and newer
-   weights than its own were named, or nobody knows which it has. */
+/* Returns whether E needs a reload: it is not draining, its service is
+   configured, and a newer version was announced than it has, or its version is
+   uncertain. */
 bool fleet_needs_weights (const struct fleet *f,
                           const struct fleet_endpoint *e);
-/* Whether E's weights were outdated LIMIT_US ago, or may have been. */
+/* Returns whether E's weights were outdated LIMIT_US ago, or may have been. */
 bool fleet_is_outdated_for (const struct fleet *f,
                             const struct fleet_endpoint *e, int64_t limit_us,
                             int64_t now_us);
-/* E said, on any channel, that it has VERSION; that was so at AT_US or later,
-   FLEET_NEVER if it may have been long before. */
+/* E reported, on any channel, that it has VERSION.  The report was true at
+   AT_US or later; FLEET_NEVER if it may be old. */
 void fleet_apply_version (struct fleet_endpoint *e, int64_t version,
                           int64_t at_us, int64_t now_us);
-/* E refused to work on the weights that it is believed to have. */
+/* E refused to work on the weights that this VM assumed it to have. */
 void fleet_doubt_version (struct fleet_endpoint *e);
 const struct fleet_wanted *fleet_wanted_of (const struct fleet *f,
                                             const char *model);
 
-/* How what somebody says of an endpoint stands to the life that is known. */
+/* How the incarnation in a report relates to the one that is known. */
 enum fleet_incarnation
 {
-  FLEET_INCARNATION_SAME,   /* that life */
-  FLEET_INCARNATION_NEWER,  /* it started again since, or was not known */
-  FLEET_INCARNATION_OLDER,  /* news of a life that is over */
-  FLEET_INCARNATION_UNKNOWN /* it says no start, though one is known */
+  FLEET_INCARNATION_SAME,   /* the known incarnation */
+  FLEET_INCARNATION_NEWER,  /* it restarted since, or was not known */
+  FLEET_INCARNATION_OLDER,  /* an incarnation that has ended */
+  FLEET_INCARNATION_UNKNOWN /* the report has no start time, though one is
+                               known */
 };
 
-/* E may be NULL; BORN_MS is 0 if the news says no start. */
+/* Compares a report of an endpoint with E, which may be NULL; STARTED_MS is 0
+   if the report has no start time. */
 enum fleet_incarnation
-fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t born_ms);
-const char *fleet_incarnation_name (enum fleet_incarnation life);
+fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t started_ms);
+const char *fleet_incarnation_name (enum fleet_incarnation incarnation);
 
-/* An endpoint is listed, or listed in another way; what is said of an older
-   life than the known one, or of no life, changes nothing.  Returns the life
-   that is known then. */
+/* Adds or updates a listed endpoint.  An entry of an older incarnation, or
+   without a start time where one is known, changes nothing.  Returns the
+   newest incarnation, which the fleet owns. */
 struct fleet_endpoint *fleet_apply_listing (struct fleet *f,
                                             const struct fleet_listing *l,
                                             int64_t now_us);
-/* E itself says that it started at BORN_MS, later than was known. */
+/* E itself reported that it started at STARTED_MS, later than was known.
+   Returns the new incarnation. */
 struct fleet_endpoint *fleet_apply_restart (struct fleet *f,
                                             struct fleet_endpoint *e,
-                                            int64_t born_ms, int64_t now_us);
+                                            int64_t started_ms,
+                                            int64_t now_us);
 
-/* An entry was removed, or is not in a whole list. */
+/* The entry of E was removed, or is not in a complete list. */
 void fleet_apply_missing (struct fleet *f, struct fleet_endpoint *e,
                           int64_t now_us);
 
-/* Whether an entry that is missing counts as removed at once, not doubted. */
+/* Returns whether a missing entry counts as removed at once, without waiting
+   for it to return. */
 bool fleet_is_list_settled (const struct fleet *f, int64_t now_us);
-/* Drop the entries whose return has been waited for long enough. */
+/* Removes the missing entries that did not return in time. */
 void fleet_remove_missing (struct fleet *f, int64_t now_us);
 
-/* Contact with the list of endpoints was lost until NOW_US. */
+/* The list of endpoints is readable again at NOW_US. */
 void fleet_list_recovered (struct fleet *f, int64_t now_us);
 
 struct fleet_endpoint *fleet_endpoint_ref (struct fleet_endpoint *e);
 void fleet_endpoint_unref (struct fleet_endpoint *e);
 
-/* Take over which region each failure domain is in, DOMAIN=REGION parted by
-   spaces; false if a part says no such thing. */
+/* Records the region of each failure domain from TEXT, entries DOMAIN=REGION
+   separated by spaces; returns false at the first malformed entry. */
 bool fleet_parse_regions (struct fleet *f, const char *text);
-/* Whether a request with HOMES may use what stands in DOMAIN.  The region of
-   a domain that nobody named is no home. */
+/* Returns whether a request with HOMES may use endpoints and stores in DOMAIN.
+   A domain without a known region is not allowed where regions are limited. */
 bool fleet_is_region_allowed (const struct fleet *f,
                               const struct fleet_region_limits *homes,
                               const char *domain);
-/* Whether nothing may be sent to the endpoints of DOMAIN. */
+/* Returns whether DOMAIN is evacuated, so that nothing may be sent there. */
 bool fleet_is_evacuated (const struct fleet *f, const char *domain);
-/* Work out this VM's part of the rate of each endpoint that is cold or named a
-   limit. */
+/* Recomputes this VM's share of the rate of each endpoint that is cold or
+   reported a limit, where the share is stale. */
 void fleet_refresh_rate_shares (struct fleet *f, int64_t now_us);
 
-/* Age of the knowledge of configuration; INT64_MAX if there is none. */
+/* Returns the time since the configuration was known to be the newest;
+   INT64_MAX if there is none. */
 int64_t fleet_conf_age_us (const struct fleet *f, int64_t now_us);
 
 /* --- choice of an endpoint (pick.c) ---------------------------------- */
 
-#define PICK_EXCLUDE_MAX 8 /* endpoints that one request has tried */
+#define PICK_EXCLUDE_MAX 8 /* endpoints that one request may have tried */
 
-/* What a request asks of an endpoint, in tokens of its prompt. */
+/* Prompt tokens of a request, by where they can be found. */
 struct pick_work
 {
-  int64_t shared; /* in parts that others share */
-  int64_t stored; /* of these, in stores */
-  int64_t own;    /* the rest */
+  int64_t shared; /* tokens in parts that other prompts share */
+  int64_t stored; /* of these, tokens in KV cache stores */
+  int64_t own;    /* all other tokens */
   uint64_t part;  /* digest of the last shared part */
 };
 
@@ -398,84 +439,89 @@
 
 struct pick_query
 {
-  const char *service;  /* asked for */
-  const char *domain;   /* of this VM */
-  const char *affinity; /* part of the prompt to find again, or NULL */
-  const struct fleet_endpoint *exclude[PICK_EXCLUDE_MAX]; /* tried before */
+  const char *service;  /* service that the request is for */
+  const char *domain;   /* failure domain of this VM */
+  const char *affinity; /* prompt prefix to place by, or NULL */
+  const struct fleet_endpoint
+      *exclude[PICK_EXCLUDE_MAX];   /* endpoints that were tried already */
   int nexclude;                     /* entries in exclude */
   struct fleet_region_limits homes; /* regions that it may use */
-  uint64_t random;                  /* breaks ties */
-  struct pick_work work;            /* zeros for a plain service */
-  const struct load_table *loads;   /* work of all VMs, or NULL */
+  uint64_t random;                  /* random number that breaks ties */
+  struct pick_work work;            /* prompt tokens; zeros for a plain
+                                       service */
+  const struct load_table *loads;   /* load that all VMs reported, or NULL */
 };
 
 enum pick_code
 {
   PICK_CHOSEN,
-  PICK_NO_ENDPOINT, /* the service has no endpoint */
-  PICK_ALL_TRIED,   /* all were tried, or have weights that are too old */
-  PICK_COLD,        /* and some are cold, and have their rate of requests */
-  PICK_LIMITED, /* and some named a limit, of which this VM's part is used */
-  PICK_BACKOFF, /* and some asked this VM to send them nothing for a while */
-  PICK_REGION_NOT_ALLOWED, /* and some stand in no region that the request may
-                              use */
-  PICK_EVACUATED           /* and some stand in a domain that is evacuated */
+  PICK_NO_ENDPOINT,        /* the service has no endpoint */
+  PICK_ALL_TRIED,          /* all were tried, or their weights are too old */
+  PICK_COLD,               /* some are cold and their rate is used up */
+  PICK_LIMITED,            /* some have a limit, and this VM's share is used */
+  PICK_BACKOFF,            /* some requested a backoff */
+  PICK_REGION_NOT_ALLOWED, /* some are in no region that the request may use */
+  PICK_EVACUATED           /* some are in an evacuated domain */
 };
 
 struct pick_choice
 {
-  enum pick_code code;             /* whether, or why not */
-  struct fleet_endpoint *endpoint; /* chosen */
-  int candidates;                  /* endpoints that could be chosen */
+  enum pick_code code;             /* result, or why none was chosen */
+  struct fleet_endpoint *endpoint; /* the chosen endpoint; not a new
+                                      reference */
+  int candidates;                  /* endpoints that were eligible */
   int load;                        /* expected requests at the chosen one */
-  int64_t pending_prefill_tokens;  /* tokens to be read there before the
+  int64_t pending_prefill_tokens;  /* tokens to prefill there before the
                                       request's own */
-  int64_t kv_tokens;               /* tokens of memory that are taken there */
-  bool has_part;      /* the last shared part is there, or being read */
-  int64_t wait_us;    /* expected there for the first piece of an answer */
-  int over_bound;     /* endpoints passed over for load */
-  int64_t backoff_us; /* until the first one has rested; with PICK_RESTING */
-  int64_t version;    /* weights it is believed to have */
+  int64_t kv_tokens;               /* KV cache tokens in use there */
+  bool has_part;      /* the last shared part is there, or in prefill */
+  int64_t wait_us;    /* expected time there to the first chunk */
+  int over_bound;     /* endpoints rejected for their load */
+  int64_t backoff_us; /* until the first backoff ends; with PICK_BACKOFF */
+  int64_t version;    /* weight version that it is assumed to have */
 };
 
 struct pick_choice pick_endpoint (const struct fleet *f,
                                   const struct pick_query *q, int64_t now_us);
 const char *pick_code_name (enum pick_code code);
 
-/* Whether E asked this VM to send it nothing now. */
+/* Returns whether E requested a backoff that has not ended. */
 bool pick_is_backoff_requested (const struct fleet_endpoint *e,
                                 int64_t now_us);
-/* Requests expected at E now. */
+/* Returns the estimated number of requests at E now. */
 int pick_load (const struct fleet_endpoint *e, int64_t now_us);
 
-/* What an endpoint's answers say. */
+/* Events of the requests at an endpoint. */
 void pick_request_sent (struct fleet_endpoint *e);
 void pick_request_ended (struct fleet_endpoint *e);
 void pick_load_reported (struct fleet_endpoint *e, int running,
                          int64_t now_us);
 void pick_request_succeeded (struct fleet_endpoint *e);
-/* TOKENS, to be read for a prompt and before it, took WAIT_US until the first
-   piece of its answer. */
+/* Updates the prefill rate: TOKENS, of a prompt and of what was pending before
+   it, took WAIT_US until the first chunk of the answer. */
 void pick_learn_prefill_rate (struct fleet *f, const struct fleet_endpoint *e,
                               int64_t tokens, int64_t wait_us);
-/* Tokens that endpoints of the service read in a second, as learned. */
+/* Returns the estimated prefill rate of an endpoint of the service, in tokens
+   a second. */
 int64_t pick_prefill_rate (const struct fleet *f, const char *service);
-/* The first piece of an answer came after WAIT_US, or had not come by then. */
+/* The first chunk of an answer came after WAIT_US, or had not come by then. */
 void pick_first_chunk (struct fleet *f, struct fleet_endpoint *e,
                        int64_t wait_us, int64_t now_us);
-/* Expected wait for the first piece at E. */
+/* Returns the expected time to the first chunk at E. */
 int64_t pick_expected_wait_us (const struct fleet *f,
                                const struct fleet_endpoint *e, int64_t now_us);
 void pick_request_failed (struct fleet_endpoint *e, int64_t now_us);
-/* Nothing listens at E's address. */
+/* E's address refused the connection. */
 void pick_connection_refused (struct fleet_endpoint *e, int64_t now_us);
 void pick_overload_refused (struct fleet_endpoint *e, int64_t now_us);
 
-/* Whether A changes weights before B: an order that all VMs know. */
+/* Returns whether A reloads weights before B; the order is the same on all
+   VMs. */
 bool pick_reload_before (const struct fleet_endpoint *a,
                          const struct fleet_endpoint *b);
 
-/* Endpoints of MODEL that change weights at once: more as time runs out. */
+/* Returns how many endpoints of MODEL may reload weights at a time: more when
+   some endpoints take no work because of old weights. */
 int pick_reload_max (const struct fleet *f, const char *model, int64_t now_us);
 
 #endif
--- a/pick.c
+++ b/pick.c
@@ -1,4 +1,5 @@
-/* Choice of an endpoint for a request that is passed on as it is. */
+/* Selects the endpoint for a request that is proxied, and tracks load, latency
+   and failures of endpoints. */
 #include "fleet.h"
 
 #include <string.h>
@@ -7,60 +8,71 @@
 #include "decide.h"
 #include "load.h"
 
-/* A failed endpoint rests this long, doubled with each further failure: a
-   restart takes about a second, and a look costs one request. */
-#define REST_FIRST_US INT64_C (300000)
-#define REST_MAX_US INT64_C (4000000)
-/* Failures in a row before it rests: one may be the request's own. */
-#define FAILURES_MAX 2
-/* It refused for want of room: places come free within some tens of ms. */
-#define FULL_US INT64_C (150000)
-/* Share of one answer in the smoothed wait: an endpoint gives one VM some
-   answers a second, so it follows within about two seconds. */
-#define FIRST_WEIGHT 4
-/* The same over all endpoints of a service: some answers a second at least. */
-#define SERVICE_WEIGHT 8
-/* The smoothed wait halves after so long without an answer. */
-#define FIRST_HALF_US INT64_C (700000)
-/* A report older than this says little about requests of some hundred ms. */
-#define REPORT_MAX_US INT64_C (1000000)
-/* A request leaves its sticky endpoint when that has twice the mean load, and
-   some: the bound of consistent hashing with bounded loads.  A tighter bound
-   evens the load out, and has more parts read anew. */
-#define BOUND_PERCENT 200
-#define BOUND_SPARE 3
-/* Costs that differ by less count as equal: VMs know of each other what was
-   some ms ago, and an answer is late by hundreds. */
-#define EQUAL_US INT64_C (20000)
+/* Backoff of a failed endpoint, doubled with each further failure: a restart
+   takes about a second, and a probe costs one request. */
+#define BACKOFF_MIN_US INT64_C (300000)
+#define BACKOFF_MAX_US INT64_C (4000000)
+/* Consecutive failures before the backoff: one may be caused by the request
+   itself. */
+#define BACKOFF_FAILURES 2
+/* How long an endpoint that refused for lack of capacity is avoided: slots
+   become free within some tens of ms. */
+#define FULL_AVOID_US INT64_C (150000)
+/* Divisor of a sample in an endpoint's moving average: an endpoint gives
+   one VM some answers a second, so the average follows within about two
+   seconds. */
+#define ENDPOINT_EWMA_DIVISOR 4
+/* The same over all endpoints of a service, which give some answers a second
+   at least. */
+#define SERVICE_EWMA_DIVISOR 8
+/* Half-life of an average's deviation from the usual value without a
+   sample. */
+#define EWMA_HALF_LIFE_US INT64_C (700000)
+/* An endpoint's report of its load that is older than this says little about
+   requests of some hundred ms. */
+#define REPORT_MAX_AGE_US INT64_C (1000000)
+/* A request leaves its preferred endpoint when that has twice the mean load,
+   plus a margin: the bound of consistent hashing with bounded loads.  A
+   tighter bound balances the load better, but causes more prefixes to be
+   prefilled again. */
+#define LOAD_BOUND_PERCENT 200
+#define LOAD_BOUND_MARGIN 3
+/* Costs that differ by less count as equal: VMs know each other's load as of
+   some ms ago, and answers vary by hundreds. */
+#define COST_STEP_US INT64_C (20000)
 /*
- * Work ahead counts by this part of its time: some of it is read before the
- * request comes, and a request that leaves its home for it has its parts read
- * anew there, which others then wait for.
+ * Pending prefill counts with this percentage of its time: some of it is done
+ * before the request arrives, and a request that leaves its preferred endpoint
+ * because of it has its shared parts prefilled again elsewhere, which delays
+ * other requests there.
  */
-#define AHEAD_PERCENT 30
-/* Memory that prompts may take; the rest is for what is generated. */
-#define MEMORY_PERCENT 90
-/* An endpoint in another failure domain, where little is known of those: it
-   must be idle by three short prompts' time in which the own one is busy. */
-#define FAR_US INT64_C (60000)
-/* Tokens read in a second, before any answer tells. */
-#define SPEED_FIRST 100000
-/* Bounds on what is learned, so that a stray answer teaches nothing odd. */
-#define SPEED_MIN 1000
-#define SPEED_MAX 10000000
-/* A long prompt tells the speed: one that takes longer than this at the speed
-   that is believed. */
-#define LEARN_US INT64_C (50000)
-/* Old answers count a sixteenth less with each new one. */
-#define LEARN_WEIGHT 16
-/* Endpoints that change weights at once: two load fastest each, and more take
-   places away that the others need. */
-#define RELOAD_WIDTH 2
-/* One of so many, where that is more: the platform loads a fifth of a large
-   service's endpoints as fast as one. */
-#define RELOAD_SHARE 5
-/* Times as many once old weights get no more work: nothing is lost by it. */
-#define RELOAD_LATE 2
+#define PENDING_PREFILL_PERCENT 30
+/* Share of the KV cache that prompts may use; the rest is for generated
+   tokens. */
+#define PROMPT_MEMORY_PERCENT 90
+/* Penalty of an endpoint in another failure domain, where little is known of
+   the load there: it is used when the one in this domain has about three short
+   prompts' time more to do. */
+#define REMOTE_DOMAIN_COST_US INT64_C (60000)
+/* Prefill rate in tokens a second, before any sample. */
+#define PREFILL_RATE_INITIAL 100000
+/* Bounds of the estimated prefill rate, against outliers. */
+#define PREFILL_RATE_MIN 1000
+#define PREFILL_RATE_MAX 10000000
+/* A prompt is long, and so a sample of the prefill rate, if it takes longer
+   than this at the current estimate. */
+#define LONG_PROMPT_US INT64_C (50000)
+/* Divisor of the decay: old samples lose a sixteenth with each new one. */
+#define PREFILL_DECAY_DIVISOR 16
+/* Endpoints that reload weights at a time: two load fastest each, and more
+   take away capacity that the other requests need. */
+#define RELOAD_MIN 2
+/* One of so many endpoints, where that is more: the platform loads a fifth of
+   a large service's endpoints as fast as one. */
+#define RELOAD_FRACTION 5
+/* Factor once endpoints with old weights take no more requests: reloading them
+   then costs no capacity. */
+#define RELOAD_LATE_FACTOR 2
 
 const char *
 pick_code_name (enum pick_code code)
@@ -79,7 +91,7 @@
   return names[code];
 }
 
-/* --- what answers say ------------------------------------------------ */
+/* --- results of requests --------------------------------------------- */
 
 void
 pick_request_sent (struct fleet_endpoint *e)
@@ -111,7 +123,7 @@
 }
 
 static struct fleet_service_stats *
-find_seen (const struct fleet *f, const char *service)
+find_stats (const struct fleet *f, const char *service)
 {
   struct fleet_service_stats *s;
   guint i;
@@ -126,20 +138,20 @@
 }
 
 static struct fleet_service_stats *
-need_seen (struct fleet *f, const char *service)
+get_stats (struct fleet *f, const char *service)
 {
-  struct fleet_service_stats *s = find_seen (f, service);
+  struct fleet_service_stats *s = find_stats (f, service);
   struct fleet_service_stats new = { .first_chunk = { 0 } };
 
   if (s != NULL)
     return s;
   g_strlcpy (new.service, service, sizeof new.service);
   g_array_append_val (f->service_stats, new);
-  return find_seen (f, service);
+  return find_stats (f, service);
 }
 
 static void
-observe (struct fleet_ewma *w, int64_t wait_us, int weight, int64_t now_us)
+ewma_update (struct fleet_ewma *w, int64_t wait_us, int weight, int64_t now_us)
 {
   w->smoothed_us += (wait_us - w->smoothed_us) / weight;
   w->updated_us = now_us;
@@ -149,102 +161,105 @@
 pick_first_chunk (struct fleet *f, struct fleet_endpoint *e, int64_t wait_us,
                   int64_t now_us)
 {
-  observe (&e->first_chunk, wait_us, FIRST_WEIGHT, now_us);
-  observe (&need_seen (f, e->is.service)->first_chunk, wait_us, SERVICE_WEIGHT,
-           now_us);
+  ewma_update (&e->first_chunk, wait_us, ENDPOINT_EWMA_DIVISOR, now_us);
+  ewma_update (&get_stats (f, e->is.service)->first_chunk, wait_us,
+               SERVICE_EWMA_DIVISOR, now_us);
 }
 
 static int64_t
-speed_of (const struct fleet_service_stats *s)
+prefill_rate_of (const struct fleet_service_stats *s)
 {
   if (s == NULL || s->prefill_us <= 0)
-    return SPEED_FIRST;
-  return CLAMP (s->prefill_tokens * CQ_US_PER_S / s->prefill_us, SPEED_MIN,
-                SPEED_MAX);
+    return PREFILL_RATE_INITIAL;
+  return CLAMP (s->prefill_tokens * CQ_US_PER_S / s->prefill_us,
+                PREFILL_RATE_MIN, PREFILL_RATE_MAX);
 }
 
 int64_t
 pick_prefill_rate (const struct fleet *f, const char *service)
 {
-  return speed_of (find_seen (f, service));
+  return prefill_rate_of (find_stats (f, service));
 }
 
-/* Short prompts tell what an answer takes besides reading, long ones what
-   reading takes beyond that. */
+/* Short prompts are samples of the time besides prefill, long prompts of the
+   prefill time beyond that. */
 void
 pick_learn_prefill_rate (struct fleet *f, const struct fleet_endpoint *e,
                          int64_t tokens, int64_t wait_us)
 {
-  struct fleet_service_stats *s = need_seen (f, e->is.service);
+  struct fleet_service_stats *s = get_stats (f, e->is.service);
 
   if (tokens <= 0)
     return;
-  if (tokens * CQ_US_PER_S / speed_of (s) < LEARN_US)
+  if (tokens * CQ_US_PER_S / prefill_rate_of (s) < LONG_PROMPT_US)
     {
-      s->short_prompt_us += (wait_us - s->short_prompt_us) / LEARN_WEIGHT;
+      s->short_prompt_us
+          += (wait_us - s->short_prompt_us) / PREFILL_DECAY_DIVISOR;
       return;
     }
   if (wait_us <= s->short_prompt_us)
     return;
-  s->prefill_tokens += tokens - s->prefill_tokens / LEARN_WEIGHT;
-  s->prefill_us += wait_us - s->short_prompt_us - s->prefill_us / LEARN_WEIGHT;
+  s->prefill_tokens += tokens - s->prefill_tokens / PREFILL_DECAY_DIVISOR;
+  s->prefill_us
+      += wait_us - s->short_prompt_us - s->prefill_us / PREFILL_DECAY_DIVISOR;
 }
 
-/* Without a word a wait is taken to come nearer to what is usual. */
+/* Without samples, the average decays toward the usual value. */
 static int64_t
-settled (const struct fleet_ewma *w, int64_t usual_us, int64_t now_us)
+decayed (const struct fleet_ewma *w, int64_t usual_us, int64_t now_us)
 {
-  int64_t silent = now_us - w->updated_us;
-  int64_t off = w->smoothed_us - usual_us;
+  int64_t idle_us = now_us - w->updated_us;
+  int64_t deviation = w->smoothed_us - usual_us;
 
-  for (; silent > FIRST_HALF_US && off != 0; silent -= FIRST_HALF_US)
-    off /= 2;
-  return usual_us + off;
+  for (; idle_us > EWMA_HALF_LIFE_US && deviation != 0;
+       idle_us -= EWMA_HALF_LIFE_US)
+    deviation /= 2;
+  return usual_us + deviation;
 }
 
 /*
- * One of many VMs hears of one of many endpoints every few seconds.  If what
- * it heard were just forgotten, it would take endpoints with twenty waiting
- * requests for idle; what other endpoints of the service say is the better
- * guess.  That in turn shrinks to nothing, or a service that was slow once
- * would never be tried again.
+ * With many VMs and endpoints, a VM gets an answer from an endpoint only every
+ * few seconds.  If old samples were just dropped, an endpoint with twenty
+ * queued requests would be taken for idle; the average of the service's other
+ * endpoints is a better estimate.  That one decays to zero in turn, or a
+ * service that was slow once would never be tried again.
  */
 int64_t
 pick_expected_wait_us (const struct fleet *f, const struct fleet_endpoint *e,
                        int64_t now_us)
 {
-  const struct fleet_service_stats *s = find_seen (f, e->is.service);
-  int64_t usual = s != NULL ? settled (&s->first_chunk, 0, now_us) : 0;
+  const struct fleet_service_stats *s = find_stats (f, e->is.service);
+  int64_t usual = s != NULL ? decayed (&s->first_chunk, 0, now_us) : 0;
 
-  return settled (&e->first_chunk, usual, now_us);
+  return decayed (&e->first_chunk, usual, now_us);
 }
 
 void
 pick_request_failed (struct fleet_endpoint *e, int64_t now_us)
 {
-  int64_t rest = REST_FIRST_US;
+  int64_t backoff = BACKOFF_MIN_US;
   int i;
 
   e->failures++;
-  if (e->failures < FAILURES_MAX)
+  if (e->failures < BACKOFF_FAILURES)
     return;
-  for (i = FAILURES_MAX; i < e->failures && rest < REST_MAX_US; i++)
-    rest *= 2;
-  e->backoff_until_us = now_us + rest;
+  for (i = BACKOFF_FAILURES; i < e->failures && backoff < BACKOFF_MAX_US; i++)
+    backoff *= 2;
+  e->backoff_until_us = now_us + backoff;
 }
 
-/* Other failures may be the request's own; this one is the endpoint's. */
+/* Other failures may be caused by the request; this one is the endpoint's. */
 void
 pick_connection_refused (struct fleet_endpoint *e, int64_t now_us)
 {
-  e->failures = MAX (e->failures, FAILURES_MAX - 1);
+  e->failures = MAX (e->failures, BACKOFF_FAILURES - 1);
   pick_request_failed (e, now_us);
 }
 
 void
 pick_overload_refused (struct fleet_endpoint *e, int64_t now_us)
 {
-  e->full_until_us = now_us + FULL_US;
+  e->full_until_us = now_us + FULL_AVOID_US;
 }
 
 bool
@@ -258,7 +273,7 @@
 {
   int load = e->reported_running + e->sent_since;
 
-  if (e->reported_us == 0 || now_us - e->reported_us > REPORT_MAX_US)
+  if (e->reported_us == 0 || now_us - e->reported_us > REPORT_MAX_AGE_US)
     return e->running;
   return load > e->running ? load : e->running;
 }
@@ -266,15 +281,15 @@
 /* --- weights --------------------------------------------------------- */
 
 static uint64_t
-order_of (const struct fleet_endpoint *e)
+id_hash (const struct fleet_endpoint *e)
 {
   return XXH3_64bits (e->is.id, strlen (e->is.id));
 }
 
 /*
- * The oldest weights go first.  A second version may be named while some
- * endpoints have the first one already: the bound of those that have neither
- * is over first, and then they serve nobody.
+ * The oldest weights are reloaded first.  A second version may be announced
+ * while only some endpoints have the first: the time limit ends first for
+ * those that have neither, and then they take no requests.
  */
 bool
 pick_reload_before (const struct fleet_endpoint *a,
@@ -282,12 +297,13 @@
 {
   if (a->version != b->version)
     return a->version < b->version;
-  return order_of (a) < order_of (b);
+  return id_hash (a) < id_hash (b);
 }
 
-/* Whether E's weights are so old that no request may begin on them. */
+/* Whether E's weights are so old that no request may start on them. */
 static bool
-too_old (const struct fleet *f, const struct fleet_endpoint *e, int64_t now_us)
+is_too_old (const struct fleet *f, const struct fleet_endpoint *e,
+            int64_t now_us)
 {
   return f->outdated_accept_us > 0
          && fleet_is_outdated_for (f, e, f->outdated_accept_us, now_us);
@@ -306,26 +322,26 @@
         || !fleet_is_declared (f, e))
       continue;
     all++;
-    late |= too_old (f, e, now_us);
+    late |= is_too_old (f, e, now_us);
   }
-  width = MAX (all / RELOAD_SHARE, RELOAD_WIDTH);
-  return late ? RELOAD_LATE * width : width;
+  width = MAX (all / RELOAD_FRACTION, RELOAD_MIN);
+  return late ? RELOAD_LATE_FACTOR * width : width;
 }
 
 /* --- choice ---------------------------------------------------------- */
 
-/* How much an endpoint is to be avoided, best first. */
+/* Preference class of an endpoint, best first. */
 enum tier
 {
   TIER_GOOD,
-  TIER_OLD,     /* answers made by old weights are worth less */
-  TIER_FULL,    /* it refused just now */
-  TIER_RESTING, /* it failed lately; better than no endpoint at all */
-  TIER_NEVER
+  TIER_OUTDATED, /* its weights are outdated: its answers are worth less */
+  TIER_FULL,     /* it refused recently for lack of capacity */
+  TIER_BACKOFF,  /* it is in backoff after failures: the last resort */
+  TIER_INELIGIBLE
 };
 
 static bool
-excluded (const struct pick_query *q, const struct fleet_endpoint *e)
+is_excluded (const struct pick_query *q, const struct fleet_endpoint *e)
 {
   int i;
 
@@ -335,9 +351,10 @@
   return false;
 }
 
-/* Above the rate it would crash, so it is no last resort either. */
+/* Above its rate a cold endpoint would crash, so it is no last resort
+   either. */
 static bool
-is_cold (const struct fleet_endpoint *e, int64_t now_us)
+is_cold_rate_used (const struct fleet_endpoint *e, int64_t now_us)
 {
   return cold_is (&e->cold, now_us) && !pace_may_place (&e->cold.pace, now_us);
 }
@@ -346,45 +363,46 @@
 tier_of (const struct fleet *f, const struct pick_query *q,
          const struct fleet_endpoint *e, int64_t now_us)
 {
-  if (e->draining || excluded (q, e) || too_old (f, e, now_us)
-      || is_cold (e, now_us) || !limit_may_place (&e->limit, now_us)
+  if (e->draining || is_excluded (q, e) || is_too_old (f, e, now_us)
+      || is_cold_rate_used (e, now_us) || !limit_may_place (&e->limit, now_us)
       || pick_is_backoff_requested (e, now_us)
       || fleet_is_evacuated (f, e->is.domain)
       || !fleet_is_region_allowed (f, &q->homes, e->is.domain))
-    return TIER_NEVER;
+    return TIER_INELIGIBLE;
   if (now_us < e->backoff_until_us)
-    return TIER_RESTING;
+    return TIER_BACKOFF;
   if (now_us < e->full_until_us)
     return TIER_FULL;
-  return fleet_outdated_learned_us (f, e) != 0 ? TIER_OLD : TIER_GOOD;
+  return fleet_outdated_learned_us (f, e) != 0 ? TIER_OUTDATED : TIER_GOOD;
 }
 
-/* What is known of the endpoints of the service before one is chosen. */
+/* Summary of a service's endpoints before one is chosen. */
 struct survey
 {
-  int listed;        /* endpoints of the service that are not leaving */
-  int count;         /* that may be chosen */
-  int cold;          /* that may not, since they are cold */
-  int limited;       /* or since this VM's part of their limit is used */
-  int resting;       /* or since they asked for rest */
-  int64_t rested_us; /* when the first of these has rested */
-  int evacuated;     /* or since their domain is evacuated */
-  int abroad;        /* or since their region is no home of the request */
-  enum tier best;    /* lowest tier among them */
-  int willing;       /* endpoints that take new work */
-  int64_t load;      /* of these, in all */
+  int serving; /* endpoints of the service that are not draining */
+  int count;   /* endpoints that are eligible */
+  int cold;    /* not eligible: cold, and their rate is used up */
+  int limited; /* not eligible: this VM's share of the limit is used */
+  int backoff; /* not eligible: they requested a backoff */
+  int64_t backoff_end_us; /* when the first of these backoffs ends */
+  int evacuated;          /* not eligible: their domain is evacuated */
+  int region_denied; /* not eligible: the request may not use their region */
+  enum tier best;    /* best tier of the eligible ones */
+  int available;     /* endpoints that are neither full nor in backoff */
+  int64_t load;      /* total load of these */
 };
 
 static bool
-is_willing (enum tier tier)
+is_available (enum tier tier)
 {
-  return tier == TIER_GOOD || tier == TIER_OLD;
+  return tier == TIER_GOOD || tier == TIER_OUTDATED;
 }
 
 static struct survey
-look (const struct fleet *f, const struct pick_query *q, int64_t now_us)
+survey_endpoints (const struct fleet *f, const struct pick_query *q,
+                  int64_t now_us)
 {
-  struct survey s = { .best = TIER_NEVER, .rested_us = INT64_MAX };
+  struct survey s = { .best = TIER_INELIGIBLE, .backoff_end_us = INT64_MAX };
   const struct fleet_endpoint *e;
   enum tier tier;
 
@@ -392,36 +410,37 @@
   {
     if (strcmp (e->is.service, q->service) != 0)
       continue;
-    s.listed += !e->draining;
-    s.cold += !e->draining && is_cold (e, now_us);
+    s.serving += !e->draining;
+    s.cold += !e->draining && is_cold_rate_used (e, now_us);
     s.limited += !e->draining && !limit_may_place (&e->limit, now_us);
     if (!e->draining && pick_is_backoff_requested (e, now_us))
       {
-        s.resting++;
-        s.rested_us = MIN (s.rested_us, e->requested_backoff_until_us);
+        s.backoff++;
+        s.backoff_end_us
+            = MIN (s.backoff_end_us, e->requested_backoff_until_us);
       }
-    s.abroad += !e->draining
-                && !fleet_is_region_allowed (f, &q->homes, e->is.domain);
+    s.region_denied
+        += !e->draining
+           && !fleet_is_region_allowed (f, &q->homes, e->is.domain);
     s.evacuated += !e->draining && fleet_is_evacuated (f, e->is.domain);
     tier = tier_of (f, q, e, now_us);
-    if (tier == TIER_NEVER)
+    if (tier == TIER_INELIGIBLE)
       continue;
     s.count++;
     if (tier < s.best)
       s.best = tier;
-    if (!is_willing (tier))
+    if (!is_available (tier))
       continue;
-    s.willing++;
+    s.available++;
     s.load += pick_load (e, now_us);
   }
   return s;
 }
 
 static uint64_t
-affinity_of (const struct pick_query *q, const struct fleet_endpoint *e)
+affinity_score (const struct pick_query *q, const struct fleet_endpoint *e)
 {
-  return XXH3_64bits_withSeed (q->affinity, strlen (q->affinity),
-                               order_of (e));
+  return XXH3_64bits_withSeed (q->affinity, strlen (q->affinity), id_hash (e));
 }
 
 /* --- cost of an endpoint --------------------------------------------- */
@@ -433,141 +452,154 @@
                          : NULL;
 }
 
-/* What does not depend on the endpoint. */
-struct weighing
+/* Inputs of the cost that are the same for all endpoints. */
+struct cost_inputs
 {
-  const struct pick_query *q;         /* what is asked for */
-  const struct pick_factors *factors; /* of its terms */
-  int64_t speed;                      /* tokens read in a second */
-  int64_t room;     /* of an endpoint's memory, in tokens; 0 if unknown */
-  int64_t parts_us; /* to have the shared parts where they are not at home */
+  const struct pick_query *q;         /* the query */
+  const struct pick_factors *factors; /* scale of the cost terms */
+  int64_t prefill_rate;               /* prefill rate, tokens a second */
+  int64_t prompt_memory_tokens; /* KV cache of an endpoint for prompts, in
+                   tokens; 0 if unknown */
+  int64_t shared_parts_us;      /* to fetch or prefill the shared parts at an
+                            endpoint that      lacks them */
 };
 
 static int64_t
-read_us (int64_t tokens, int64_t speed)
+prefill_us (int64_t tokens, int64_t prefill_rate)
 {
-  return tokens * CQ_US_PER_S / speed;
+  return tokens * CQ_US_PER_S / prefill_rate;
 }
 
-/* A service that does not tell how fast it moves cache is taken to move it as
-   fast as it reads: then kept parts are no reason to go anywhere. */
+/* If the transfer prefill_rate of KV cache is unknown, it is taken to be the
+   prefill rate: then stored parts don't change the choice. */
 static int64_t
-move_us (const struct fleet_service *sv, int64_t tokens, int64_t speed)
+transfer_us (const struct fleet_service *sv, int64_t tokens,
+             int64_t prefill_rate)
 {
   if (sv == NULL || sv->kv_token_bytes <= 0 || sv->link_mbit_s <= 0)
-    return read_us (tokens, speed);
+    return prefill_us (tokens, prefill_rate);
   return tokens * sv->kv_token_bytes * 8 / sv->link_mbit_s;
 }
 
-static struct weighing
-weighing_of (const struct fleet *f, const struct pick_query *q)
+static struct cost_inputs
+cost_inputs_of (const struct fleet *f, const struct pick_query *q)
 {
   const struct fleet_service *sv = service_of (f, q->service);
-  struct weighing w = { .q = q, .factors = &f->factors };
+  struct cost_inputs w = { .q = q, .factors = &f->factors };
 
-  w.speed = pick_prefill_rate (f, q->service);
+  w.prefill_rate = pick_prefill_rate (f, q->service);
   if (sv != NULL)
-    w.room = sv->kv_capacity_tokens * MEMORY_PERCENT / 100;
-  w.parts_us = move_us (sv, q->work.stored, w.speed)
-               + read_us (q->work.shared - q->work.stored, w.speed);
+    w.prompt_memory_tokens
+        = sv->kv_capacity_tokens * PROMPT_MEMORY_PERCENT / 100;
+  w.shared_parts_us
+      = transfer_us (sv, q->work.stored, w.prefill_rate)
+        + prefill_us (q->work.shared - q->work.stored, w.prefill_rate);
   return w;
 }
 
-/* A request that does not fit pushes another one out, which is read again, and
-   waits itself. */
+/* A request that does not fit evicts another one, whose prompt is then
+   prefilled again, and waits itself. */
 static int64_t
-memory_us (const struct weighing *w, int64_t held, int64_t need)
+memory_us (const struct cost_inputs *w, int64_t held, int64_t need)
 {
-  if (w->room == 0 || held + need <= w->room)
+  if (w->prompt_memory_tokens == 0 || held + need <= w->prompt_memory_tokens)
     return 0;
-  return 2 * read_us (need + held + need - w->room, w->speed);
+  return 2
+         * prefill_us (need + held + need - w->prompt_memory_tokens,
+                       w->prefill_rate);
 }
 
 /*
- * How much later a request is answered at E than at an idle endpoint that has
- * its shared parts, with what it does to others there.  Prompts of 17,000
- * tokens and streams that want a piece within 0.4 s met at one endpoint while
- * each counted as one request: with four long ones there, a quarter of the
- * first pieces were late.  Requests that share a part are best off together:
- * it is read and held once.
+ * Cost of E in microseconds: how much later a request is answered there than
+ * at an idle endpoint that has its shared parts, including the delay to other
+ * requests there.  When each request counted as one, prompts of 17,000 tokens
+ * shared an endpoint with streams that need a chunk within 0.4 s: with four
+ * long prompts there, a quarter of the first chunks were late.  Requests with
+ * a common part are best placed together: it is prefilled and stored once.
  */
 static int64_t
-cost_of (const struct weighing *w, const struct fleet_endpoint *e, bool home)
+cost_of (const struct cost_inputs *w, const struct fleet_endpoint *e,
+         bool preferred)
 {
   const struct pick_query *q = w->q;
   struct load_sum at = load_at (q->loads, e->key);
   bool has = load_has_part (q->loads, e->key, q->work.part);
   int64_t need = q->work.own + (has ? 0 : q->work.shared);
-  int64_t cost = read_us (at.pending_prefill_tokens, w->speed) * AHEAD_PERCENT
-                 / 100 * w->factors->pending_prefill / 100;
+  int64_t cost = prefill_us (at.pending_prefill_tokens, w->prefill_rate)
+                 * PENDING_PREFILL_PERCENT / 100 * w->factors->pending_prefill
+                 / 100;
 
   cost += memory_us (w, at.kv_tokens, need) * w->factors->memory / 100;
-  if (!home && !has)
-    cost += w->parts_us * w->factors->parts / 100;
+  if (!preferred && !has)
+    cost += w->shared_parts_us * w->factors->parts / 100;
   if (load_is_partial (q->loads) && strcmp (e->is.domain, q->domain) != 0)
-    cost += FAR_US;
+    cost += REMOTE_DOMAIN_COST_US;
   return cost;
 }
 
-/* The endpoint where a prompt's shared parts are most likely found: the same
-   one on all VMs. */
+/* The endpoint that most likely has a prompt's shared parts, by rendezvous
+   hashing: the same one on all VMs. */
 static const struct fleet_endpoint *
-home_of (const struct fleet *f, const struct pick_query *q, int64_t now_us)
+preferred_endpoint (const struct fleet *f, const struct pick_query *q,
+                    int64_t now_us)
 {
-  const struct fleet_endpoint *e, *home = NULL;
+  const struct fleet_endpoint *e, *preferred = NULL;
   uint64_t score, high = 0;
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
     if (strcmp (e->is.service, q->service) != 0
-        || !is_willing (tier_of (f, q, e, now_us)))
+        || !is_available (tier_of (f, q, e, now_us)))
       continue;
-    score = affinity_of (q, e);
-    if (home == NULL || score > high)
+    score = affinity_score (q, e);
+    if (preferred == NULL || score > high)
       {
-        home = e;
+        preferred = e;
         high = score;
       }
   }
-  return home;
+  return preferred;
 }
 
 /*
- * The cheapest endpoint whose load is under the bound; of equal ones that
- * where the affinity points, so that load spreads though VMs know little, and
- * returns to one place.  Placed by load alone, as far as a VM hears of it, all
- * VMs meet where one was idle half a second ago.  Endpoints whose weights are
- * about to change get work until they refuse it, which they do at once: kept
- * free, they take places away from the others.  Weights make no difference
- * while old ones still count: sent to new weights first, all requests meet two
- * endpoints that have to read every prompt anew, and answers take seconds.
+ * The cheapest endpoint whose load is under the bound; of equal ones the one
+ * with the highest rendezvous hash of the affinity.  This spreads load even
+ * though VMs know little of each other, and places equal prefixes together.
+ * Placed only by the load that a VM knows, requests of all VMs would go to an
+ * endpoint that was idle half a second ago.  Endpoints that are about to
+ * reload get requests until they refuse them, which they do at once: leaving
+ * them idle would take capacity from the other requests.  The version makes no
+ * difference while old weights are still accepted: if requests preferred new
+ * weights, all would go to two endpoints that have to prefill every prompt
+ * again, and answers would take seconds.
  */
 static struct fleet_endpoint *
 choose_sticky (const struct fleet *f, const struct pick_query *q,
                const struct survey *s, int64_t now_us,
                struct pick_choice *choice)
 {
-  const struct fleet_endpoint *home = home_of (f, q, now_us);
-  struct weighing w = weighing_of (f, q);
+  const struct fleet_endpoint *preferred = preferred_endpoint (f, q, now_us);
+  struct cost_inputs w = cost_inputs_of (f, q);
   struct fleet_endpoint *e, *best = NULL;
   uint64_t score, high = 0;
   int64_t cost, low = 0, bound;
 
-  if (s->willing == 0)
+  if (s->available == 0)
     return NULL;
-  bound = s->load * BOUND_PERCENT / 100 / s->willing + BOUND_SPARE;
+  bound
+      = s->load * LOAD_BOUND_PERCENT / 100 / s->available + LOAD_BOUND_MARGIN;
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
     if (strcmp (e->is.service, q->service) != 0
-        || !is_willing (tier_of (f, q, e, now_us)))
+        || !is_available (tier_of (f, q, e, now_us)))
       continue;
     if (pick_load (e, now_us) >= bound)
       {
         choice->over_bound++;
         continue;
       }
-    cost = cost_of (&w, e, e == home) / EQUAL_US;
-    score = affinity_of (q, e);
+    cost = cost_of (&w, e, e == preferred) / COST_STEP_US;
+    score = affinity_score (q, e);
     if (best == NULL || cost < low || (cost == low && score > high))
       {
         best = e;
@@ -578,14 +610,15 @@
   return best;
 }
 
-/* The least loaded one; of equals one in this failure domain, then any. */
+/* The least loaded endpoint of the best tier; of equal ones one in this
+   failure domain, then a random one. */
 static struct fleet_endpoint *
-choose_least (const struct fleet *f, const struct pick_query *q,
-              const struct survey *s, int64_t now_us)
+choose_least_loaded (const struct fleet *f, const struct pick_query *q,
+                     const struct survey *s, int64_t now_us)
 {
   struct fleet_endpoint *e, *best = NULL;
   int64_t cost, low = 0;
-  uint64_t draw, best_draw = 0;
+  uint64_t tie_break, best_tie_break = 0;
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
@@ -594,31 +627,32 @@
       continue;
     cost = 2 * (int64_t)pick_load (e, now_us)
            + (strcmp (e->is.domain, q->domain) != 0);
-    draw = order_of (e) ^ (q->random * UINT64_C (0x9E3779B97F4A7C15));
-    if (best == NULL || cost < low || (cost == low && draw < best_draw))
+    tie_break = id_hash (e) ^ (q->random * UINT64_C (0x9E3779B97F4A7C15));
+    if (best == NULL || cost < low
+        || (cost == low && tie_break < best_tie_break))
       {
         best = e;
         low = cost;
-        best_draw = draw;
+        best_tie_break = tie_break;
       }
   }
   return best;
 }
 
 static enum pick_code
-why_none (const struct survey *s)
+reject_code (const struct survey *s)
 {
-  if (s->listed == 0)
+  if (s->serving == 0)
     return PICK_NO_ENDPOINT;
   if (s->cold > 0)
     return PICK_COLD;
   if (s->limited > 0)
     return PICK_LIMITED;
-  if (s->resting > 0)
+  if (s->backoff > 0)
     return PICK_BACKOFF;
   if (s->evacuated > 0)
     return PICK_EVACUATED;
-  return s->abroad > 0 ? PICK_REGION_NOT_ALLOWED : PICK_ALL_TRIED;
+  return s->region_denied > 0 ? PICK_REGION_NOT_ALLOWED : PICK_ALL_TRIED;
 }
 
 struct pick_choice
@@ -626,20 +660,20 @@
                int64_t now_us)
 {
   struct pick_choice c = { .code = PICK_NO_ENDPOINT };
-  struct survey s = look (f, q, now_us);
+  struct survey s = survey_endpoints (f, q, now_us);
   struct load_sum at;
 
   c.candidates = s.count;
   if (s.count == 0)
     {
-      c.code = why_none (&s);
-      c.backoff_us = c.code == PICK_BACKOFF ? s.rested_us - now_us : 0;
+      c.code = reject_code (&s);
+      c.backoff_us = c.code == PICK_BACKOFF ? s.backoff_end_us - now_us : 0;
       return c;
     }
   if (q->affinity != NULL)
     c.endpoint = choose_sticky (f, q, &s, now_us, &c);
   if (c.endpoint == NULL)
-    c.endpoint = choose_least (f, q, &s, now_us);
+    c.endpoint = choose_least_loaded (f, q, &s, now_us);
   c.code = PICK_CHOSEN;
   c.load = pick_load (c.endpoint, now_us);
   at = load_at (q->loads, c.endpoint->key);
