--- a/cold.c
+++ b/cold.c
@@ -1,15 +1,15 @@
-/* Cold endpoints: who may send there, and when. */
+/* Cold endpoints: which VMs may send there, and when. */
 #include "cold.h"
 
 #include <glib.h>
 
 #include "decide.h"
 
-/* More than a second holds a VM's part of the rate, so that no second holds
-   one request more. */
-#define PERIOD_US (CQ_US_PER_S + 10 * CQ_US_PER_MS)
-/* A part is worked out anew after this time: VMs come and go. */
-#define JUDGE_US CQ_US_PER_S
+/* A VM's share of a second is spread over slightly more than that, so that no
+   second holds one request more. */
+#define SHARE_PERIOD_US (CQ_US_PER_S + 10 * CQ_US_PER_MS)
+/* The share is recomputed after this time, as VMs come and go. */
+#define SHARE_REFRESH_US CQ_US_PER_S
 
 void
 cold_until (struct cold *c, int64_t at_us)
@@ -36,12 +36,12 @@
 {
   return cold_is (c, now_us)
          && (c->interval_set_us == 0
-             || now_us - c->interval_set_us >= JUDGE_US);
+             || now_us - c->interval_set_us >= SHARE_REFRESH_US);
 }
 
 void
 cold_set_share (struct cold *c, int rate, int64_t now_us)
 {
-  c->pace.interval_us = rate > 0 ? PERIOD_US / rate : 0;
+  c->pace.interval_us = rate > 0 ? SHARE_PERIOD_US / rate : 0;
   c->interval_set_us = now_us;
 }
--- a/cold.h
+++ b/cold.h
@@ -1,12 +1,13 @@
 /*
- * Cold endpoints: one that has just started bears a rate of requests, summed
- * over all VMs, and crashes well above it.
+ * Cold endpoints: an endpoint that has just started can take only a certain
+ * rate of requests, summed over all VMs, and crashes well above it.
  *
- * No VM asks another before it sends.  Of the VMs that are listed on the
- * platform some are chosen for each cold endpoint by rendezvous, at most as
- * many as the rate, and only these send there, each its part of the rate.
- * Views of the list may differ: the bound that the platform allows is over the
- * rate itself, and each VM that wrongly takes itself for chosen adds one part.
+ * VMs don't coordinate before they send.  For each cold endpoint some of the
+ * VMs that the platform lists are chosen by rendezvous hashing, at most as
+ * many as the rate, and only these send there, each its share of the rate.
+ * The VMs' lists may differ: the rate that an endpoint tolerates is above the
+ * configured one, and each VM that wrongly considers itself chosen adds one
+ * share.
  */
 #ifndef CQ_COLD_H
 #define CQ_COLD_H
@@ -16,24 +17,25 @@
 
 #include "pace.h"
 
-/* An endpoint as this VM sees it; zeros if it never was cold. */
+/* Cold state of an endpoint on this VM; zeros if it never was cold. */
 struct cold
 {
-  int64_t until_us;        /* cold until then */
-  int64_t interval_set_us; /* the pace was set */
-  struct pace pace;        /* of this VM's requests while it is cold */
+  int64_t until_us;        /* the endpoint is cold until then */
+  int64_t interval_set_us; /* when the interval was set */
+  struct pace pace;        /* pace of this VM's requests while it is cold */
 };
 
-/* It is cold until AT_US, unless that is known to be later. */
+/* Marks the endpoint as cold until AT_US, or later if that is known
+   already. */
 void cold_until (struct cold *c, int64_t at_us);
 bool cold_is (const struct cold *c, int64_t now_us);
-/* This VM's part of the rate RATE, as the VM with rank RANK, from 0, of VMS; 0
-   if others send. */
+/* Returns the share, in requests a second, that the VM with rank RANK, from 0,
+   of VMS has of RATE; 0 if it may not send. */
 int cold_share (int rate, int vms, int rank);
-/* Whether the part has to be worked out, for the first time or anew. */
+/* Returns whether the share must be set, for the first time or again. */
 bool cold_is_share_stale (const struct cold *c, int64_t now_us);
-/* This VM may send RATE requests a second; evenly spaced, so that no second
-   holds two parts. */
+/* Sets this VM's share to RATE requests a second, spaced evenly, so that no
+   second holds more than one share. */
 void cold_set_share (struct cold *c, int rate, int64_t now_us);
 
 #endif
--- a/fleet.c
+++ b/fleet.c
@@ -1,18 +1,18 @@
-/* What a VM believes of the fleet it serves. */
+/* What a VM knows of the fleet that it serves. */
 #include "fleet.h"
 
 #include <string.h>
 #include <xxhash.h>
 
 /*
- * Entries can lapse while the platform's list cannot be read, and return
- * within two seconds of its own return if the endpoint lives.  An entry that
- * is missing then would take a live endpoint out of service; one still
- * missing after that is gone.
+ * Entries can lapse while the platform's list cannot be read; if the endpoint
+ * is alive, its entry returns within two seconds after the list does.
+ * Removing a missing entry at once would take a live endpoint out of service;
+ * one that is still missing after this time is removed.
  */
 #define RETURN_WAIT_US INT64_C (2200000)
 
-/* Endpoints that are listed no more and are remembered. */
+/* Endpoints that are kept after their entries were removed. */
 #define FORMER_MAX 512
 
 /* --- configuration --------------------------------------------------- */
@@ -69,7 +69,7 @@
 }
 
 static int
-longer_first (gconstpointer a, gconstpointer b)
+compare_prefix_length (gconstpointer a, gconstpointer b)
 {
   const struct fleet_route *const *ra = a;
   const struct fleet_route *const *rb = b;
@@ -100,7 +100,7 @@
     }
   g_hash_table_iter_init (&it, c->hosts);
   while (g_hash_table_iter_next (&it, NULL, &list))
-    g_ptr_array_sort (list, longer_first);
+    g_ptr_array_sort (list, compare_prefix_length);
 }
 
 struct fleet_conf *
@@ -132,7 +132,7 @@
   g_autofree char *name = g_ascii_strdown (host, -1);
   guint i;
 
-  /* A port says how the caller got here, not what it asks for. */
+  /* The port doesn't select a route. */
   name[strcspn (name, ":")] = '\0';
   list = g_hash_table_lookup (c->hosts, name);
   for (i = 0; list != NULL && i < list->len; i++)
@@ -165,7 +165,7 @@
   return r->splits[i].service;
 }
 
-/* --- beliefs --------------------------------------------------------- */
+/* --- fleet ----------------------------------------------------------- */
 
 void
 fleet_init (struct fleet *f)
@@ -199,33 +199,34 @@
 /* --- former endpoints ------------------------------------------------ */
 
 static void
-forget (struct fleet *f, struct fleet_endpoint *e)
+forget_former (struct fleet *f, struct fleet_endpoint *e)
 {
   APR_RING_REMOVE (e, link);
   f->nformer--;
   fleet_endpoint_unref (e);
 }
 
-/* It said of itself what binds, or is still asked and may. */
+/* Whether E reported something that still applies if it returns, or requests
+   are at it and may bring such a report. */
 static bool
-is_remembered (const struct fleet_endpoint *e)
+is_worth_keeping (const struct fleet_endpoint *e)
 {
   return e->draining || e->limit.active || e->requested_backoff_until_us > 0
          || e->refs > 1;
 }
 
 static void
-drop (struct fleet *f, struct fleet_endpoint *e)
+remove_endpoint (struct fleet *f, struct fleet_endpoint *e)
 {
   e->gone = true;
   g_hash_table_remove (f->by_id, e->is.id);
   APR_RING_REMOVE (e, link);
   APR_RING_INSERT_TAIL (&f->former, e, fleet_endpoint, link);
   f->nformer++;
-  if (!is_remembered (e))
-    forget (f, e);
+  if (!is_worth_keeping (e))
+    forget_former (f, e);
   else if (f->nformer > FORMER_MAX)
-    forget (f, APR_RING_FIRST (&f->former));
+    forget_former (f, APR_RING_FIRST (&f->former));
 }
 
 static struct fleet_endpoint *
@@ -241,10 +242,10 @@
   return NULL;
 }
 
-/* The same life is listed again: an entry that lapsed, or an older copy of the
-   list. */
+/* The same incarnation is listed again: its entry had lapsed, or the list is
+   an older copy. */
 static void
-take_back (struct fleet *f, struct fleet_endpoint *e)
+restore_former (struct fleet *f, struct fleet_endpoint *e)
 {
   APR_RING_REMOVE (e, link);
   f->nformer--;
@@ -257,9 +258,9 @@
 fleet_clear (struct fleet *f)
 {
   while (!APR_RING_EMPTY (&f->endpoints, fleet_endpoint, link))
-    drop (f, APR_RING_FIRST (&f->endpoints));
+    remove_endpoint (f, APR_RING_FIRST (&f->endpoints));
   while (!APR_RING_EMPTY (&f->former, fleet_endpoint, link))
-    forget (f, APR_RING_FIRST (&f->former));
+    forget_former (f, APR_RING_FIRST (&f->former));
   g_hash_table_destroy (f->by_id);
   g_array_free (f->wanted, TRUE);
   g_array_free (f->service_stats, TRUE);
@@ -269,9 +270,9 @@
 }
 
 /*
- * A read that was overtaken, or a source that lags, may bring an older
- * configuration: taking it would bring back a route or a key that was taken
- * away.  Both the change's number and the operator's own must grow.
+ * A late reply, or a source that lags, may bring an older configuration:
+ * applying it would restore a route or key that was removed.  Both the change
+ * number and the operator's version must increase.
  */
 bool
 fleet_apply_conf (struct fleet *f, struct fleet_conf *c, int64_t row)
@@ -320,7 +321,7 @@
 }
 
 static int64_t
-heard_from (const struct fleet_wanted *w, int64_t version)
+version_learned_us (const struct fleet_wanted *w, int64_t version)
 {
   int i;
 
@@ -330,41 +331,41 @@
   return FLEET_NEVER;
 }
 
-/* Facts stay in the order of their versions; of the same one the later counts,
-   and of too many the oldest versions go. */
+/* Keeps the bounds ordered by version; of the same version the later time
+   counts, and when there are too many the lowest version is dropped. */
 static void
-add_fact (struct fleet_wanted *w, int64_t version, int64_t at_us)
+add_bound (struct fleet_wanted *w, int64_t version, int64_t at_us)
 {
-  struct fleet_naming_bound fact = { version, at_us };
-  int64_t heard = heard_from (w, version);
+  struct fleet_naming_bound bound = { version, at_us };
+  int64_t learned = version_learned_us (w, version);
   int i = w->nbounds;
 
-  /* It was named by then, whatever others say. */
-  if (heard != FLEET_NEVER)
-    fact.at_us = MIN (at_us, heard);
+  /* This VM knows that it was announced by then, whatever others report. */
+  if (learned != FLEET_NEVER)
+    bound.at_us = MIN (at_us, learned);
   while (i > 0 && w->bounds[i - 1].version > version)
     i--;
   if (i > 0 && w->bounds[i - 1].version == version)
     {
-      w->bounds[i - 1].at_us = MAX (w->bounds[i - 1].at_us, fact.at_us);
+      w->bounds[i - 1].at_us = MAX (w->bounds[i - 1].at_us, bound.at_us);
       return;
     }
   if (w->nbounds == FLEET_NAMING_BOUNDS_MAX && i == 0)
     return;
   if (w->nbounds == FLEET_NAMING_BOUNDS_MAX)
     {
-      memmove (w->bounds, w->bounds + 1, sizeof fact * (size_t)--w->nbounds);
+      memmove (w->bounds, w->bounds + 1, sizeof bound * (size_t)--w->nbounds);
       i--;
     }
   memmove (w->bounds + i + 1, w->bounds + i,
-           sizeof fact * (size_t)(w->nbounds - i));
-  w->bounds[i] = fact;
+           sizeof bound * (size_t)(w->nbounds - i));
+  w->bounds[i] = bound;
   w->nbounds++;
 }
 
 bool
 fleet_apply_wanted (struct fleet *f, const char *model, int64_t version,
-                    int64_t early_us, int64_t now_us)
+                    int64_t not_before_us, int64_t now_us)
 {
   struct fleet_wanted new = { .version = 0 };
   struct fleet_wanted *w = find_wanted (f, model);
@@ -378,8 +379,8 @@
       w = find_wanted (f, model);
     }
   add_named (w, version, now_us);
-  if (early_us != 0)
-    add_fact (w, version, early_us);
+  if (not_before_us != 0)
+    add_bound (w, version, not_before_us);
   return true;
 }
 
@@ -392,7 +393,7 @@
   for (i = 0; i < f->wanted->len; i++)
     {
       w = &g_array_index (f->wanted, struct fleet_wanted, i);
-      add_fact (w, w->version + 1, at_us);
+      add_bound (w, w->version + 1, at_us);
     }
 }
 
@@ -403,7 +404,7 @@
   struct fleet_wanted *w = find_wanted (f, model);
 
   if (w != NULL)
-    add_fact (w, version, at_us);
+    add_bound (w, version, at_us);
 }
 
 int64_t
@@ -426,7 +427,7 @@
 {
   const struct fleet_wanted *w = find_wanted (f, model);
 
-  return w != NULL ? heard_from (w, version) : FLEET_NEVER;
+  return w != NULL ? version_learned_us (w, version) : FLEET_NEVER;
 }
 
 int64_t
@@ -436,8 +437,8 @@
   return fleet_earliest_naming_us (f, e->is.model, e->version + 1);
 }
 
-/* A second version may be named before the first is in place; each counts
-   from its own naming. */
+/* A second version may be announced before the first is loaded; the time of
+   each counts from its own announcement. */
 const struct fleet_named *
 fleet_outdated_by (const struct fleet *f, const struct fleet_endpoint *e)
 {
@@ -453,8 +454,8 @@
   return NULL;
 }
 
-/* An entry that another writer made may name a service that nobody declared:
-   whoever answers there is no endpoint to order about. */
+/* An entry by another writer may name a service that is not configured: it is
+   then not an endpoint that may be ordered to reload. */
 bool
 fleet_is_declared (const struct fleet *f, const struct fleet_endpoint *e)
 {
@@ -479,10 +480,11 @@
 }
 
 /*
- * Counted from when this VM heard, the grace of old weights began anew on each
- * VM that started meanwhile: callers got answers by weights that had been
- * outdated for 17 s.  Until it is known when they can have become outdated, a
- * VM cannot know that any grace is left.
+ * Counted from when this VM learned of the newer version, the time limit of
+ * old weights would restart on each VM that started meanwhile: callers got
+ * answers from weights that had been outdated for 17 s.  Until the earliest
+ * time at which they can have become outdated is known, a VM cannot know that
+ * any time is left.
  */
 bool
 fleet_is_outdated_for (const struct fleet *f, const struct fleet_endpoint *e,
@@ -497,11 +499,12 @@
 }
 
 /*
- * Weights go back when an order to an earlier life, on its way for seconds,
- * fits the count of orders that began anew.  Believed to have the newest, the
- * endpoint would refuse all work and nobody would order it again.  A word is
- * newer than the belief only if what it says was so after the belief came:
- * answers overtake each other, and entries are seconds old.
+ * The version decreases when an order to an earlier incarnation, delayed for
+ * seconds, matches the count of orders of the restarted one.  Assumed to have
+ * the newest version, the endpoint would refuse all work and would not be
+ * ordered to reload again.  A report replaces the known version only if it was
+ * true after that version was learned: answers arrive out of order, and
+ * entries are seconds old.
  */
 void
 fleet_apply_version (struct fleet_endpoint *e, int64_t version, int64_t at_us,
@@ -525,7 +528,7 @@
 }
 
 const char *
-fleet_incarnation_name (enum fleet_incarnation life)
+fleet_incarnation_name (enum fleet_incarnation incarnation)
 {
   static const char *const names[] = {
     [FLEET_INCARNATION_SAME] = "same",
@@ -534,27 +537,28 @@
     [FLEET_INCARNATION_UNKNOWN] = "unsaid",
   };
 
-  return names[life];
+  return names[incarnation];
 }
 
 enum fleet_incarnation
-fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t born_ms)
+fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t started_ms)
 {
-  if (e == NULL || born_ms > e->is.started_ms)
+  if (e == NULL || started_ms > e->is.started_ms)
     return FLEET_INCARNATION_NEWER;
-  if (born_ms == e->is.started_ms)
+  if (started_ms == e->is.started_ms)
     return FLEET_INCARNATION_SAME;
-  return born_ms == 0 ? FLEET_INCARNATION_UNKNOWN : FLEET_INCARNATION_OLDER;
+  return started_ms == 0 ? FLEET_INCARNATION_UNKNOWN : FLEET_INCARNATION_OLDER;
 }
 
 static struct fleet_endpoint *
-add_life (struct fleet *f, const struct fleet_listing *l, int64_t now_us)
+add_incarnation (struct fleet *f, const struct fleet_listing *l,
+                 int64_t now_us)
 {
   struct fleet_endpoint *e = find_former (f, l);
 
   if (e != NULL)
     {
-      take_back (f, e);
+      restore_former (f, e);
       return e;
     }
   e = g_new0 (struct fleet_endpoint, 1);
@@ -571,36 +575,37 @@
 }
 
 /*
- * A start is heard of up to seconds after it, and what the endpoint said in
- * answers since then was put down to the start before.  Both bind for a while
- * only: rest ends by itself, and an answer without the limit lifts it.
+ * A restart is noticed up to seconds late, and what the endpoint reported in
+ * answers since then was recorded for the previous incarnation.  Both the
+ * limit and the backoff are kept, as they are temporary: the backoff ends by
+ * itself, and an answer without a limit clears the limit.
  */
 static struct fleet_endpoint *
-start_again (struct fleet *f, struct fleet_endpoint *old,
-             const struct fleet_listing *l, int64_t now_us)
+replace_incarnation (struct fleet *f, struct fleet_endpoint *old,
+                     const struct fleet_listing *l, int64_t now_us)
 {
   struct limit limit = old->limit;
-  int64_t rest = old->requested_backoff_until_us;
+  int64_t backoff_until_us = old->requested_backoff_until_us;
   struct fleet_endpoint *e;
 
-  drop (f, old);
-  e = add_life (f, l, now_us);
+  remove_endpoint (f, old);
+  e = add_incarnation (f, l, now_us);
   e->limit = limit;
-  e->requested_backoff_until_us = rest;
+  e->requested_backoff_until_us = backoff_until_us;
   return e;
 }
 
 struct fleet_endpoint *
 fleet_apply_restart (struct fleet *f, struct fleet_endpoint *e,
-                     int64_t born_ms, int64_t now_us)
+                     int64_t started_ms, int64_t now_us)
 {
   struct fleet_listing l = e->is;
 
-  l.started_ms = born_ms;
+  l.started_ms = started_ms;
   l.draining = false;
-  /* It starts with the weights that it had. */
+  /* It restarts with the weights that it had. */
   l.version = e->version;
-  return start_again (f, e, &l, now_us);
+  return replace_incarnation (f, e, &l, now_us);
 }
 
 struct fleet_endpoint *
@@ -615,7 +620,8 @@
     case FLEET_INCARNATION_UNKNOWN:
       return e;
     case FLEET_INCARNATION_NEWER:
-      e = e != NULL ? start_again (f, e, l, now_us) : add_life (f, l, now_us);
+      e = e != NULL ? replace_incarnation (f, e, l, now_us)
+                    : add_incarnation (f, l, now_us);
       break;
     case FLEET_INCARNATION_SAME:
       break;
@@ -623,9 +629,9 @@
   fleet_apply_version (e, l->version, FLEET_NEVER, now_us);
   if (l->cold_us > 0)
     cold_until (&e->cold, now_us + l->cold_us);
-  /* The id is a key of the table, and equal. */
+  /* by_id uses the id as its key; the new one is equal. */
   e->is = *l;
-  /* One life of an endpoint never takes its leaving back; the next may. */
+  /* Draining is final for an incarnation; the next one may be ready. */
   e->draining |= l->draining;
   e->missing_since_us = 0;
   return e;
@@ -648,7 +654,7 @@
 fleet_apply_missing (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
 {
   if (fleet_is_list_settled (f, now_us))
-    drop (f, e);
+    remove_endpoint (f, e);
   else if (e->missing_since_us == 0)
     e->missing_since_us = now_us;
 }
@@ -666,7 +672,7 @@
     {
       next = APR_RING_NEXT (e, link);
       if (e->missing_since_us != 0)
-        drop (f, e);
+        remove_endpoint (f, e);
     }
 }
 
@@ -694,24 +700,25 @@
 }
 
 static bool
-allows (const char *const *homes, const char *region)
+is_allowed (const char *const *regions, const char *region)
 {
-  if (homes == NULL)
+  if (regions == NULL)
     return true;
-  return region != NULL && g_strv_contains (homes, region);
+  return region != NULL && g_strv_contains (regions, region);
 }
 
 bool
 fleet_is_region_allowed (const struct fleet *f,
-                         const struct fleet_region_limits *homes,
+                         const struct fleet_region_limits *regions,
                          const char *domain)
 {
   const char *region;
 
-  if (homes->route == NULL && homes->workspace == NULL)
+  if (regions->route == NULL && regions->workspace == NULL)
     return true;
   region = g_hash_table_lookup (f->regions, domain);
-  return allows (homes->route, region) && allows (homes->workspace, region);
+  return is_allowed (regions->route, region)
+         && is_allowed (regions->workspace, region);
 }
 
 /* --- evacuated domains ----------------------------------------------- */
@@ -731,7 +738,7 @@
   return false;
 }
 
-/* --- rates that VMs share -------------------------------------------- */
+/* --- shares of rates ------------------------------------------------- */
 
 static const struct fleet_service *
 service_of (const struct fleet *f, const struct fleet_endpoint *e)
@@ -742,25 +749,26 @@
 }
 
 static void
-judge_cold (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
+refresh_cold_share (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
 {
   const struct fleet_service *s = service_of (f, e);
-  int part = 0;
+  int share = 0;
 
   if (s != NULL && f->cold_part != NULL)
-    part = f->cold_part (f->share_arg, e->key, s->cold_requests_s);
-  cold_set_share (&e->cold, part, now_us);
+    share = f->cold_part (f->share_arg, e->key, s->cold_requests_s);
+  cold_set_share (&e->cold, share, now_us);
 }
 
 static void
-judge_limit (struct fleet *f, struct fleet_endpoint *e, int64_t now_us)
+refresh_limit_interval (struct fleet *f, struct fleet_endpoint *e,
+                        int64_t now_us)
 {
-  int64_t gap = LIMIT_PROBE_INTERVAL_US;
+  int64_t interval_us = LIMIT_PROBE_INTERVAL_US;
 
   if (f->limit_interval_us != NULL)
-    gap = f->limit_interval_us (f->share_arg, e->key, e->limit.milli_rps,
-                                now_us);
-  limit_set_interval (&e->limit, gap, now_us);
+    interval_us = f->limit_interval_us (f->share_arg, e->key,
+                                        e->limit.milli_rps, now_us);
+  limit_set_interval (&e->limit, interval_us, now_us);
 }
 
 void
@@ -771,9 +779,9 @@
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
     if (cold_is_share_stale (&e->cold, now_us))
-      judge_cold (f, e, now_us);
+      refresh_cold_share (f, e, now_us);
     if (limit_is_interval_stale (&e->limit, now_us))
-      judge_limit (f, e, now_us);
+      refresh_limit_interval (f, e, now_us);
   }
 }
 
--- a/fresh.c
+++ b/fresh.c
@@ -1,10 +1,10 @@
-/* Until when the settings here are known to be the newest there are. */
+/* Tracks until when the settings of this VM are known to be the newest. */
 #include "fresh.h"
 
 #include "decide.h"
 
 /* Above the longest time that settings may go without a confirmation, which is
-   a day: an age over it says nothing. */
+   a day: a greater age is useless. */
 #define AGE_MAX_MS (UINT64_C (2) * 24 * 3600 * 1000)
 
 void
--- a/fresh.h
+++ b/fresh.h
@@ -1,9 +1,9 @@
 /*
- * Until when the settings here are known to be the newest there are.
+ * Tracks until when the settings of this VM are known to be the newest.
  *
- * A duration counts from when the knowledge was current, not from when this VM
- * learned it: a reply that was handled late, or an answer of a VM that is
- * itself behind, would make old settings new.
+ * A time limit counts from when the knowledge was current, not from when this
+ * VM learned it: otherwise a reply that was handled late, or an answer of a VM
+ * that itself lags, would make old settings count as new.
  */
 #ifndef CQ_FRESH_H
 #define CQ_FRESH_H
@@ -11,39 +11,41 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What is known of it.  All zero: nothing is. */
+/* State of this knowledge; all zero if nothing is known. */
 struct fresh
 {
-  bool is_confirmed;         /* at_us counts */
-  int64_t confirmed_us;      /* our revision was the newest then */
-  uint64_t pending_revision; /* a newer revision that is not here yet, or 0 */
-  int64_t pending_us;        /* that was the newest then */
+  bool is_confirmed;         /* confirmed_us is valid */
+  int64_t confirmed_us;      /* our revision was the newest at this time */
+  uint64_t pending_revision; /* a newer revision that is not in force here yet,
+                                or 0 */
+  int64_t pending_us;        /* pending_revision was the newest at this time */
 };
 
 /*
- * Somebody says that SAID was the newest revision at AT_US; HAVE is in force
- * here, and WANTED is the highest that was heard of.  An older revision comes
- * from a source that lags, and confirms nothing; a newer one does when it is
- * in force here.
+ * A source reports that SAID was the newest revision at AT_US; HAVE is in
+ * force here, and WANTED is the highest revision that is known of.  An older
+ * revision comes from a source that lags, and confirms nothing; a newer one
+ * confirms once it is in force here.
  */
 void fresh_confirm (struct fresh *f, uint64_t said, uint64_t have,
                     uint64_t wanted, int64_t at_us);
 
-/* HAVE came into force here. */
+/* Revision HAVE came into force here. */
 void fresh_revision_applied (struct fresh *f, uint64_t have, uint64_t wanted);
 
-/* Whether nothing was confirmed for LIMIT_US. */
+/* Returns whether nothing was confirmed for LIMIT_US. */
 bool fresh_is_expired (const struct fresh *f, int64_t limit_us,
                        int64_t now_us);
 
-/* The age in milliseconds to tell another VM, at least as great as it is; -1
-   if nothing is known. */
+/* Returns the age of the last confirmation in ms, rounded up, to send to
+   another VM; -1 if there is none. */
 int64_t fresh_age_ms (const struct fresh *f, int64_t now_us);
 
 /*
- * When what another VM said was current, if it was asked at ASKED_US and told
- * an age of AGE_MS.  It told that after it was asked, so this is no later than
- * it was, however late the answer is handled.  False if the age is no use.
+ * Sets *AT_US to when the report of another VM was current, if it was asked at
+ * ASKED_US and reported an age of AGE_MS.  It reported after it was asked, so
+ * this is never too late a time, however late the answer is handled.  Returns
+ * false if the age is too large.
  */
 bool fresh_time_from_age (int64_t asked_us, uint64_t age_ms, int64_t *at_us);
 
--- a/limit.h
+++ b/limit.h
@@ -1,14 +1,15 @@
 /*
- * Limits that endpoints name: how many requests a second they take from all
- * VMs together, until they say otherwise.
+ * Rate limits that endpoints report: how many requests a second an endpoint
+ * takes from all VMs together, until it reports another limit or none.
  *
- * No VM asks another before it sends.  What an endpoint takes in a window of
- * some seconds is dealt to the VMs that the platform lists, by rendezvous, in
- * whole requests, and each VM spaces its own evenly.  Where there are more VMs
- * than requests, others have their turn after a while, so that all of them
- * hear in the end that the limit was lifted; between two turns nobody sends
- * for a window.  So no window holds more than the limit allows, if VMs have
- * the same list; one that errs adds what it takes for its part.
+ * VMs don't coordinate before they send.  The requests that an endpoint takes
+ * in a window of some seconds are divided among the VMs that the platform
+ * lists, by rendezvous hashing, in whole requests, and each VM spaces its own
+ * evenly.  Where there are more VMs than requests, the VMs rotate, so that
+ * each of them sends from time to time and learns when the limit is cleared;
+ * between two rotations no VM sends for a window.  So no window exceeds the
+ * limit if all VMs have the same list; a VM with another list adds at most the
+ * share that it assumes.
  */
 #ifndef CQ_LIMIT_H
 #define CQ_LIMIT_H
@@ -18,43 +19,47 @@
 
 #include "pace.h"
 
-/* Between two requests of a VM that has no part, or knows no other VMs: it
-   must hear when the limit is lifted. */
+/* Interval between requests of a VM that has no share, or knows no other VMs:
+   it must send to learn when the limit is cleared. */
 #define LIMIT_PROBE_INTERVAL_US INT64_C (30000000)
 
-/* The limit of an endpoint as this VM knows it; zeros if it named none. */
+/* The limit of an endpoint as this VM knows it; zeros if it reported none. */
 struct limit
 {
-  bool active;             /* it stands */
-  int64_t milli_rps;       /* requests in 1000 s, from all VMs together */
-  int64_t reported_us;     /* an answer named it last */
-  int64_t interval_set_us; /* the pace was set; 0 if it has to be set anew */
-  struct pace pace;        /* of this VM's requests */
+  bool active;             /* a limit is in force */
+  int64_t milli_rps;       /* requests in 1000 s from all VMs together */
+  int64_t reported_us;     /* when an answer last reported it */
+  int64_t interval_set_us; /* when the interval was set; 0 if it must be set
+                              again */
+  struct pace pace;        /* pace of this VM's requests */
 };
 
-/* An answer to what was sent at SENT_US names a limit of MILLI; returns
-   whether that changes anything. */
-bool limit_report (struct limit *l, int64_t milli, int64_t sent_us,
+/* An answer to a request sent at SENT_US reported a limit of MILLI_RPS
+   requests in 1000 s; returns whether this changes the limit. */
+bool limit_report (struct limit *l, int64_t milli_rps, int64_t sent_us,
                    int64_t now_us);
-/* An answer to what was sent at SENT_US names none; likewise. */
+/* An answer to a request sent at SENT_US reported no limit; returns whether
+   this clears the limit. */
 bool limit_clear (struct limit *l, int64_t sent_us);
 
-/* Whether the VMs are so many that they take turns. */
-bool limit_is_rotated (int64_t milli, int vms);
-/* Number of the turn at CLOCK_MS of the platform's clock. */
+/* Returns whether there are more VMs than requests in a window, so that the
+   VMs rotate. */
+bool limit_is_rotated (int64_t milli_rps, int vms);
+/* Returns the number of the rotation at CLOCK_MS of the platform's clock. */
 uint64_t limit_rotation (int64_t clock_ms);
-/* Whether that is the time between two turns. */
+/* Returns whether CLOCK_MS is in the pause between two rotations. */
 bool limit_is_rotation_pause (int64_t clock_ms);
-/* Time between requests of the VM with rank RANK, from 0, of VMS; 0 if it has
-   no part. */
-int64_t limit_interval_us (int64_t milli, int vms, int rank);
+/* Returns the interval between requests of the VM with rank RANK, from 0, of
+   VMS; 0 if it has no share. */
+int64_t limit_interval_us (int64_t milli_rps, int vms, int rank);
 
-/* Whether the pace has to be worked out, for the first time or anew. */
+/* Returns whether the interval must be set, for the first time or again. */
 bool limit_is_interval_stale (const struct limit *l, int64_t now_us);
-void limit_set_interval (struct limit *l, int64_t gap_us, int64_t now_us);
-/* Whether the limit lets this VM choose the endpoint now. */
+void limit_set_interval (struct limit *l, int64_t interval_us, int64_t now_us);
+/* Returns whether the limit allows this VM to select the endpoint now. */
 bool limit_may_place (const struct limit *l, int64_t now_us);
-/* Whether it lets it send there, at the last moment. */
+/* Returns whether the limit allows it to send there; checked again just before
+   a request is sent. */
 bool limit_may_send (const struct limit *l, int64_t now_us);
 
 #endif
--- a/load.c
+++ b/load.c
@@ -1,50 +1,51 @@
-/* What VMs have under way at endpoints. */
+/* Load of all VMs at endpoints, as they report it. */
 #include "load.h"
 
 #include <glib.h>
 
-/* A VM with work speaks several times a second; one that has been silent for
-   so long is cut off, suspended or gone, and most of its work is done. */
-#define SILENT_US INT64_C (1500000)
-/* One that is replaced comes back under another name, and is not heard again.
- */
-#define FORGET_US INT64_C (60000000)
-/* VMs that are remembered; names cost a sender nothing. */
+/* A VM with requests sends several times a second; one that has sent nothing
+   for so long is partitioned, suspended or has ended, and most of its requests
+   are done. */
+#define EXPIRE_US INT64_C (1500000)
+/* A replaced VM returns under another name, and the old name is not used
+   again. */
+#define REMOVE_US INT64_C (60000000)
+/* VMs that are kept; bounded, as a sender can use any number of names. */
 #define PEERS_MAX 2048
 
-/* A VM that was heard. */
+/* A VM that sent its load. */
 struct peer_load
 {
-  struct load_gossip gossip; /* its last */
-  int64_t heard_us;          /* when that came */
-  bool counts;               /* its entries are in the sums */
+  struct load_gossip gossip; /* its last message */
+  int64_t heard_us;          /* when that was received */
+  bool is_counted;           /* its entries are counted in the sums */
 };
 
 struct load_table
 {
   GHashTable *peers; /* VM's name to struct peer_load */
-  GHashTable *sums;  /* endpoint's key to struct at_endpoint */
-  GHashTable *parts; /* both keys mixed to struct part_there */
-  int counting;      /* peers whose entries are in the sums */
-  int all;           /* VMs that there are, to SOME that speak */
-  int some;          /* see above */
-  bool partial;      /* other failure domains are not heard */
+  GHashTable *sums;  /* endpoint's key to struct endpoint_load */
+  GHashTable *parts; /* hash of both keys to struct part_load */
+  int counted_peers; /* peers whose entries are counted in the sums */
+  int all_vms;       /* number of VMs in this failure domain */
+  int sending_vms;   /* number of these that send to this VM */
+  bool partial;      /* load in other failure domains is unknown */
 };
 
-/* What is known of an endpoint. */
-struct at_endpoint
+/* Load at an endpoint. */
+struct endpoint_load
 {
-  uint64_t key;        /* its own */
-  struct load_sum sum; /* over all entries */
-  int entries;         /* that are in it */
+  uint64_t key;        /* key of the endpoint */
+  struct load_sum sum; /* sum of all entries */
+  int entries;         /* entries that are counted in sum */
 };
 
 /* A shared part at an endpoint. */
-struct part_there
+struct part_load
 {
-  uint64_t key;   /* its own and the endpoint's, mixed */
-  int entries;    /* that name it */
-  int64_t tokens; /* that it takes, by the first of them */
+  uint64_t key;   /* hash of its digest and the endpoint's key */
+  int entries;    /* entries that contain it */
+  int64_t tokens; /* its size in the KV cache, by the first of them */
 };
 
 struct load_table *
@@ -55,7 +56,7 @@
   t->peers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   t->sums = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   t->parts = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  t->all = t->some = 1;
+  t->all_vms = t->sending_vms = 1;
   return t;
 }
 
@@ -69,37 +70,38 @@
 }
 
 static uint64_t
-mix (uint64_t endpoint, uint64_t part)
+part_key (uint64_t endpoint, uint64_t part)
 {
   return (endpoint ^ part) * UINT64_C (0x9E3779B97F4A7C15) + endpoint;
 }
 
-static struct at_endpoint *
-need_endpoint (struct load_table *t, uint64_t key)
+static struct endpoint_load *
+get_endpoint (struct load_table *t, uint64_t key)
 {
-  struct at_endpoint *at = g_hash_table_lookup (t->sums, &key);
+  struct endpoint_load *at = g_hash_table_lookup (t->sums, &key);
 
   if (at != NULL)
     return at;
-  at = g_new0 (struct at_endpoint, 1);
+  at = g_new0 (struct endpoint_load, 1);
   at->key = key;
   g_hash_table_insert (t->sums, &at->key, at);
   return at;
 }
 
-/* Memory that the part takes in addition, now that it is named once more. */
+/* Counts one more use of the part; returns the tokens of KV cache that it
+   takes in addition. */
 static int64_t
-name_part (struct load_table *t, const struct load_entry *e)
+ref_part (struct load_table *t, const struct load_entry *e)
 {
-  uint64_t key = mix (e->endpoint, e->part);
-  struct part_there *p = g_hash_table_lookup (t->parts, &key);
+  uint64_t key = part_key (e->endpoint, e->part);
+  struct part_load *p = g_hash_table_lookup (t->parts, &key);
 
   if (p != NULL)
     {
       p->entries++;
       return 0;
     }
-  p = g_new0 (struct part_there, 1);
+  p = g_new0 (struct part_load, 1);
   p->key = key;
   p->entries = 1;
   p->tokens = e->shared_kv_tokens;
@@ -107,12 +109,12 @@
   return p->tokens;
 }
 
-/* Memory that it gives back, now that it is named once less. */
+/* Counts one use less; returns the tokens of KV cache that are freed. */
 static int64_t
-unname_part (struct load_table *t, const struct load_entry *e)
+unref_part (struct load_table *t, const struct load_entry *e)
 {
-  uint64_t key = mix (e->endpoint, e->part);
-  struct part_there *p = g_hash_table_lookup (t->parts, &key);
+  uint64_t key = part_key (e->endpoint, e->part);
+  struct part_load *p = g_hash_table_lookup (t->parts, &key);
   int64_t tokens;
 
   if (p == NULL || --p->entries > 0)
@@ -125,40 +127,40 @@
 static void
 add_entry (struct load_table *t, const struct load_entry *e)
 {
-  struct at_endpoint *at = need_endpoint (t, e->endpoint);
+  struct endpoint_load *at = get_endpoint (t, e->endpoint);
 
   at->entries++;
   at->sum.pending_prefill_tokens
       += e->pending_prefill_tokens + e->shared_pending_prefill_tokens;
-  at->sum.kv_tokens += e->kv_tokens + name_part (t, e);
+  at->sum.kv_tokens += e->kv_tokens + ref_part (t, e);
 }
 
 static void
 remove_entry (struct load_table *t, const struct load_entry *e)
 {
-  struct at_endpoint *at = need_endpoint (t, e->endpoint);
+  struct endpoint_load *at = get_endpoint (t, e->endpoint);
 
   at->sum.pending_prefill_tokens
       -= e->pending_prefill_tokens + e->shared_pending_prefill_tokens;
-  at->sum.kv_tokens -= e->kv_tokens + unname_part (t, e);
+  at->sum.kv_tokens -= e->kv_tokens + unref_part (t, e);
   if (--at->entries == 0)
     g_hash_table_remove (t->sums, &e->endpoint);
 }
 
 static void
-count (struct load_table *t, struct peer_load *p, bool counts)
+set_counted (struct load_table *t, struct peer_load *p, bool is_counted)
 {
   int i;
 
-  if (p->counts == counts)
+  if (p->is_counted == is_counted)
     return;
   for (i = 0; i < p->gossip.nentries; i++)
-    if (counts)
+    if (is_counted)
       add_entry (t, &p->gossip.entries[i]);
     else
       remove_entry (t, &p->gossip.entries[i]);
-  p->counts = counts;
-  t->counting += counts ? 1 : -1;
+  p->is_counted = is_counted;
+  t->counted_peers += is_counted ? 1 : -1;
 }
 
 static bool
@@ -183,10 +185,10 @@
       p->gossip = *w;
       g_hash_table_insert (t->peers, p->gossip.vm, p);
     }
-  count (t, p, false);
+  set_counted (t, p, false);
   p->gossip = *w;
   p->heard_us = now_us;
-  count (t, p, true);
+  set_counted (t, p, true);
   return true;
 }
 
@@ -199,9 +201,9 @@
   g_hash_table_iter_init (&it, t->peers);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&p))
     {
-      if (now_us - p->heard_us > SILENT_US)
-        count (t, p, false);
-      if (now_us - p->heard_us > FORGET_US)
+      if (now_us - p->heard_us > EXPIRE_US)
+        set_counted (t, p, false);
+      if (now_us - p->heard_us > REMOVE_US)
         g_hash_table_iter_remove (&it);
     }
 }
@@ -210,8 +212,8 @@
 load_scale (struct load_table *t, int all, int some, bool partial)
 {
   t->partial = partial;
-  t->all = MAX (all, 1);
-  t->some = CLAMP (some, 1, t->all);
+  t->all_vms = MAX (all, 1);
+  t->sending_vms = CLAMP (some, 1, t->all_vms);
 }
 
 bool
@@ -223,22 +225,22 @@
 struct load_sum
 load_at (const struct load_table *t, uint64_t endpoint)
 {
-  const struct at_endpoint *at
+  const struct endpoint_load *at
       = t != NULL ? g_hash_table_lookup (t->sums, &endpoint) : NULL;
   struct load_sum sum = { 0 };
 
   if (at == NULL)
     return sum;
   sum.pending_prefill_tokens
-      = at->sum.pending_prefill_tokens * t->all / t->some;
-  sum.kv_tokens = at->sum.kv_tokens * t->all / t->some;
+      = at->sum.pending_prefill_tokens * t->all_vms / t->sending_vms;
+  sum.kv_tokens = at->sum.kv_tokens * t->all_vms / t->sending_vms;
   return sum;
 }
 
 bool
 load_has_part (const struct load_table *t, uint64_t endpoint, uint64_t part)
 {
-  uint64_t key = mix (endpoint, part);
+  uint64_t key = part_key (endpoint, part);
 
   return t != NULL && g_hash_table_contains (t->parts, &key);
 }
@@ -246,5 +248,5 @@
 int
 load_peer_count (const struct load_table *t)
 {
-  return t->counting;
+  return t->counted_peers;
 }
--- a/load.h
+++ b/load.h
@@ -1,11 +1,13 @@
 /*
- * What VMs tell each other of the work that their requests are at endpoints.
+ * Load that the VMs' requests cause at endpoints, as the VMs report it to each
+ * other.
  *
- * A VM sees its own requests and, seldom, an endpoint's word about all; with
- * many VMs nearly all work at an endpoint is that of others.  So each tells
- * the others what its long prompts still have to read there and what memory
- * they take.  It is a hint for placing: nothing else rests on it, what is old
- * fades, and nobody waits for it.  Everything here is pure.
+ * A VM sees its own requests and, occasionally, an endpoint's report of all
+ * requests; with many VMs nearly all load at an endpoint is caused by others.
+ * So each VM reports to the others how many tokens of its long prompts are
+ * still to be prefilled there and how much KV cache they use.  It is a hint
+ * for placement only: no other decision uses it, old reports expire, and
+ * nothing waits for it.  The code here has no side effects outside the table.
  */
 #ifndef CQ_LOAD_H
 #define CQ_LOAD_H
@@ -13,39 +15,40 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LOAD_ENTRIES_MAX 40 /* of one word: it fits a datagram */
+#define LOAD_ENTRIES_MAX 40 /* of one message, so that it fits a datagram */
 #define LOAD_VM_SIZE 64     /* bytes of a VM's name with its NUL */
 
-/* Requests of a VM at one endpoint that share the last shared part of their
-   prompts: that is read once, and takes memory once. */
+/* Requests of a VM at one endpoint with the same last shared part of their
+   prompts, which is prefilled once and stored once. */
 struct load_entry
 {
-  uint64_t endpoint;              /* key of its life */
+  uint64_t endpoint;              /* key of the endpoint's incarnation */
   uint64_t part;                  /* digest of that part */
-  int64_t pending_prefill_tokens; /* tokens of their own that are still to be
-                                     read */
-  int64_t kv_tokens; /* tokens of memory that these take, or will */
-  int64_t shared_pending_prefill_tokens; /* the same of what they share */
-  int64_t shared_kv_tokens;              /* likewise */
+  int64_t pending_prefill_tokens; /* not shared, still to be prefilled */
+  int64_t kv_tokens; /* KV cache of these prompts, without what is shared */
+  int64_t shared_pending_prefill_tokens; /* shared, still to be prefilled */
+  int64_t shared_kv_tokens;              /* KV cache of what is shared */
 };
 
-/* Work at an endpoint. */
+/* Load at an endpoint. */
 struct load_sum
 {
-  int64_t pending_prefill_tokens; /* tokens that are still to be read */
-  int64_t kv_tokens; /* tokens of memory that are taken, or will be */
+  int64_t pending_prefill_tokens; /* tokens to prefill */
+  int64_t kv_tokens; /* tokens of KV cache that are in use, or will be */
 };
 
-/* What a VM says of its own requests, whole: a lost word is made good by the
-   next one. */
+/* The load of a VM's own requests, complete: the next message makes up for a
+   lost one. */
 struct load_gossip
 {
   char vm[LOAD_VM_SIZE];     /* its name */
   char domain[LOAD_VM_SIZE]; /* its failure domain */
-  uint64_t incarnation;      /* of that VM; grows */
-  uint64_t seq;              /* grows with each word of that life */
+  uint64_t incarnation;      /* incarnation of that VM; increases */
+  uint64_t seq;              /* increases with each message of an
+                                incarnation */
   int nentries;              /* entries below */
-  struct load_entry entries[LOAD_ENTRIES_MAX]; /* see above */
+  struct load_entry entries[LOAD_ENTRIES_MAX]; /* load by endpoint and shared
+                                                  part */
 };
 
 struct load_table;
@@ -53,23 +56,22 @@
 struct load_table *load_new (void);
 void load_free (struct load_table *t);
 
-/* Take a VM's word in the place of its last one; false if a newer one was
-   heard before. */
+/* Replaces a VM's last message by W; returns false if a newer one was received
+   before, or the table is full. */
 bool load_update (struct load_table *t, const struct load_gossip *w,
                   int64_t now_us);
-/* Forget what VMs said that have been silent since. */
+/* Drops the load of VMs that have sent no message for some time. */
 void load_expire (struct load_table *t, int64_t now_us);
-/* Where only SOME of the ALL VMs of this failure domain speak to this one,
-   their words stand for all.  PARTIAL: of endpoints in other domains next to
-   nothing is known. */
+/* Extrapolates where only SOME of the ALL VMs of this failure domain send to
+   this VM.  PARTIAL: almost nothing is known of endpoints in other domains. */
 void load_scale (struct load_table *t, int all, int some, bool partial);
 bool load_is_partial (const struct load_table *t);
-/* What all VMs have at ENDPOINT; zeros if nobody spoke of it. */
+/* Returns the load of all VMs at ENDPOINT; zeros if none was reported. */
 struct load_sum load_at (const struct load_table *t, uint64_t endpoint);
-/* Whether PART is being read at ENDPOINT, or in use there. */
+/* Returns whether PART is in prefill or in use at ENDPOINT. */
 bool load_has_part (const struct load_table *t, uint64_t endpoint,
                     uint64_t part);
-/* VMs whose words count now. */
+/* Returns the number of VMs whose load is counted now. */
 int load_peer_count (const struct load_table *t);
 
 #endif
--- a/notice.c
+++ b/notice.c
@@ -1,16 +1,16 @@
-/* Notices: what an endpoint says of itself in its answers. */
+/* Notices: what an endpoint reports about itself in its answers. */
 #include "notice.h"
 
 #include "decide.h"
 #include "fleet.h"
 #include "log.h"
 
-/* No endpoint is left out for longer by one answer. */
-#define REST_MAX_US (3600 * CQ_US_PER_S)
+/* Longest backoff that one answer can request. */
+#define BACKOFF_MAX_US (3600 * CQ_US_PER_S)
 
 static void
-take_limit (struct fleet_endpoint *e, const struct notice *n,
-            const struct notice_origin *from, int64_t now_us)
+apply_limit (struct fleet_endpoint *e, const struct notice *n,
+             const struct notice_origin *from, int64_t now_us)
 {
   struct limit before = e->limit;
   bool changed = false;
@@ -32,8 +32,8 @@
 }
 
 static void
-take_leaving (struct fleet_endpoint *e, const struct notice *n,
-              const struct notice_origin *from, int64_t now_us)
+apply_draining (struct fleet_endpoint *e, const struct notice *n,
+                const struct notice_origin *from, int64_t now_us)
 {
   if (!n->leaving || e->draining)
     return;
@@ -45,12 +45,12 @@
              (gint64)(now_us - from->sent_us));
 }
 
-/* Answers overtake each other: the latest end counts. */
+/* Answers arrive out of order: the latest end of a backoff counts. */
 static void
-take_rest (struct fleet_endpoint *e, const struct notice *n,
-           const struct notice_origin *from, int64_t now_us)
+apply_backoff (struct fleet_endpoint *e, const struct notice *n,
+               const struct notice_origin *from, int64_t now_us)
 {
-  int64_t until = now_us + MIN (n->backoff_us, REST_MAX_US);
+  int64_t until = now_us + MIN (n->backoff_us, BACKOFF_MAX_US);
 
   if (n->backoff_us <= 0 || until <= e->requested_backoff_until_us)
     return;
@@ -66,7 +66,7 @@
 notice_apply (struct fleet_endpoint *e, const struct notice *n,
               const struct notice_origin *from, int64_t now_us)
 {
-  take_limit (e, n, from, now_us);
-  take_leaving (e, n, from, now_us);
-  take_rest (e, n, from, now_us);
+  apply_limit (e, n, from, now_us);
+  apply_draining (e, n, from, now_us);
+  apply_backoff (e, n, from, now_us);
 }
--- a/notice.h
+++ b/notice.h
@@ -1,8 +1,9 @@
 /*
- * Notices: what an endpoint says of itself in its answers, besides the answer.
+ * Notices: what an endpoint reports about itself in the headers of its
+ * answers.
  *
- * An answer needs no platform, so a notice reaches a VM that is cut off from
- * it, and is newer than the endpoint's entry there.
+ * Answers don't pass through the platform, so a notice reaches a VM that is
+ * cut off from it, and is newer than the endpoint's entry there.
  */
 #ifndef CQ_NOTICE_H
 #define CQ_NOTICE_H
@@ -12,26 +13,27 @@
 
 struct fleet_endpoint;
 
-/* The notices of one answer, decoded; zeros for none. */
+/* The decoded notices of one answer; zeros for none. */
 struct notice
 {
-  bool has_limit;          /* it names a limit, be it readable or not */
+  bool has_limit;          /* it reports a limit, readable or not */
   int64_t limit_milli_rps; /* requests in 1000 s that it takes from all VMs, -1
-                          if that cannot be read */
-  bool leaving;            /* it leaves */
-  int64_t backoff_us; /* it turned the request away, and wants none from this
-                      VM for so long; 0 if unsaid */
+                              if unreadable */
+  bool leaving;            /* it drains */
+  int64_t backoff_us; /* it refused the request and takes none from this VM for
+                         so long; 0 if not reported */
 };
 
-/* Where notices come from. */
+/* Origin of a notice. */
 struct notice_origin
 {
-  const char *source;   /* for the log: what was asked */
-  int64_t sent_us;      /* when that was sent */
-  bool has_all_notices; /* the answer would bear all notices that stand */
+  const char *source;   /* kind of the request, for the log */
+  int64_t sent_us;      /* when the request was sent */
+  bool has_all_notices; /* the answer has all notices in force, so a missing
+                           one is cleared */
 };
 
-/* E says so in an answer. */
+/* Applies the notices N of an answer of E. */
 void notice_apply (struct fleet_endpoint *e, const struct notice *n,
                    const struct notice_origin *from, int64_t now_us);
 
--- a/stall.c
+++ b/stall.c
@@ -1,4 +1,4 @@
-/* Whether an answer that is waited for still comes: pure. */
+/* Detects answers that have stalled; has no side effects. */
 #include "stall.h"
 
 void
--- a/stall.h
+++ b/stall.h
@@ -1,9 +1,10 @@
 /*
- * Whether an answer that is waited for still comes.
+ * Detects answers that have stalled.
  *
- * The time that a whole answer takes grows with its size, so a limit on that
- * alone cuts every try of a large one at the same point, for good.  A limit on
- * the time without a byte tells a silent sender from a slow link.
+ * The time that a complete answer takes grows with its size, so a limit on the
+ * total time alone would abort every attempt at a large answer at the same
+ * point.  A limit on the time without a byte distinguishes a silent sender
+ * from a slow link.
  */
 #ifndef CQ_STALL_H
 #define CQ_STALL_H
@@ -11,26 +12,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A wait for an answer's bytes. */
+/* State of one answer that is being received. */
 struct stall
 {
   int64_t first_byte_limit_us; /* longest wait for the first byte, 0 for no
                                   limit */
-  int64_t next_byte_limit_us;  /* and for each further one, 0 for no limit */
-  int64_t progress_us;         /* when it began, or when the last byte came */
-  bool started;                /* a byte came */
+  int64_t next_byte_limit_us;  /* longest wait for each further byte, 0 for no
+                                  limit */
+  int64_t progress_us;         /* when the wait began, or the last byte came */
+  bool started;                /* a byte has come */
 };
 
 enum stall_state
 {
-  STALL_NONE,          /* or there is time left */
-  STALL_NO_FIRST_BYTE, /* no byte came within its time */
-  STALL_NO_NEXT_BYTE,  /* some came, and then none for too long */
+  STALL_NONE,          /* not stalled */
+  STALL_NO_FIRST_BYTE, /* the first byte did not come in time */
+  STALL_NO_NEXT_BYTE,  /* some bytes came, and the next did not in time */
 };
 
-/* A byte came. */
+/* Records that a byte came. */
 void stall_byte_received (struct stall *s, int64_t now_us);
-/* When the wait is over unless a byte comes; INT64_MAX if it has no end. */
+/* Returns when the answer counts as stalled unless a byte comes; INT64_MAX for
+   never. */
 int64_t stall_deadline_us (const struct stall *s);
 enum stall_state stall_state (const struct stall *s, int64_t now_us);
 
