--- a/entry.c
+++ b/entry.c
@@ -390,7 +390,7 @@
   if (!fleet_parse_regions (&e->fleet, e->cfg->regions))
     log_event (LOG_LEVEL_ERROR, "regions", "outcome=unreadable text=\"%s\"",
                e->cfg->regions);
-  e->fleet.cold_part = cold_part_of;
+  e->fleet.cold_share = cold_part_of;
   e->fleet.limit_interval_us = limit_gap_of;
   e->fleet.share_arg = e;
   e->fleet.outdated_accept_us
--- a/evac.c
+++ b/evac.c
@@ -58,9 +58,9 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (f->conf == NULL || strcmp (e->is.domain, domain) != 0)
+    if (f->conf == NULL || strcmp (e->listing.domain, domain) != 0)
       continue;
-    s = g_hash_table_lookup (f->conf->services, e->is.service);
+    s = g_hash_table_lookup (f->conf->services, e->listing.service);
     if (s != NULL)
       cold_until (&e->cold, now_us + s->cold_start_us);
   }
--- a/fleet.c
+++ b/fleet.c
@@ -218,8 +218,8 @@
 static void
 remove_endpoint (struct fleet *f, struct fleet_endpoint *e)
 {
-  e->gone = true;
-  g_hash_table_remove (f->by_id, e->is.id);
+  e->removed = true;
+  g_hash_table_remove (f->by_id, e->listing.id);
   APR_RING_REMOVE (e, link);
   APR_RING_INSERT_TAIL (&f->former, e, fleet_endpoint, link);
   f->nformer++;
@@ -236,7 +236,8 @@
 
   APR_RING_FOREACH (e, &f->former, fleet_endpoint, link)
   {
-    if (strcmp (e->is.id, l->id) == 0 && e->is.started_ms == l->started_ms)
+    if (strcmp (e->listing.id, l->id) == 0
+        && e->listing.started_ms == l->started_ms)
       return e;
   }
   return NULL;
@@ -249,9 +250,9 @@
 {
   APR_RING_REMOVE (e, link);
   f->nformer--;
-  e->gone = false;
+  e->removed = false;
   APR_RING_INSERT_TAIL (&f->endpoints, e, fleet_endpoint, link);
-  g_hash_table_insert (f->by_id, e->is.id, e);
+  g_hash_table_insert (f->by_id, e->listing.id, e);
 }
 
 void
@@ -434,7 +435,7 @@
 fleet_earliest_outdated_us (const struct fleet *f,
                             const struct fleet_endpoint *e)
 {
-  return fleet_earliest_naming_us (f, e->is.model, e->version + 1);
+  return fleet_earliest_naming_us (f, e->listing.model, e->version + 1);
 }
 
 /* A second version may be announced before the first is loaded; the time of
@@ -445,9 +446,9 @@
   const struct fleet_wanted *w;
   int i;
 
-  if (e->is.model[0] == '\0')
+  if (e->listing.model[0] == '\0')
     return NULL;
-  w = find_wanted (f, e->is.model);
+  w = find_wanted (f, e->listing.model);
   for (i = 0; w != NULL && i < w->nnamed; i++)
     if (w->named[i].version > e->version)
       return &w->named[i];
@@ -460,13 +461,13 @@
 fleet_is_declared (const struct fleet *f, const struct fleet_endpoint *e)
 {
   return f->conf == NULL
-         || g_hash_table_contains (f->conf->services, e->is.service);
+         || g_hash_table_contains (f->conf->services, e->listing.service);
 }
 
 bool
 fleet_needs_weights (const struct fleet *f, const struct fleet_endpoint *e)
 {
-  return !e->draining && !e->gone && fleet_is_declared (f, e)
+  return !e->draining && !e->removed && fleet_is_declared (f, e)
          && (e->version_doubted || fleet_outdated_by (f, e) != NULL);
 }
 
@@ -543,9 +544,9 @@
 enum fleet_incarnation
 fleet_incarnation_compare (const struct fleet_endpoint *e, int64_t started_ms)
 {
-  if (e == NULL || started_ms > e->is.started_ms)
+  if (e == NULL || started_ms > e->listing.started_ms)
     return FLEET_INCARNATION_NEWER;
-  if (started_ms == e->is.started_ms)
+  if (started_ms == e->listing.started_ms)
     return FLEET_INCARNATION_SAME;
   return started_ms == 0 ? FLEET_INCARNATION_UNKNOWN : FLEET_INCARNATION_OLDER;
 }
@@ -563,14 +564,14 @@
     }
   e = g_new0 (struct fleet_endpoint, 1);
   e->refs = 1;
-  e->is = *l;
+  e->listing = *l;
   e->version = l->version;
   e->version_us = now_us;
-  e->key = XXH3_64bits_withSeed (e->is.id, strlen (e->is.id),
-                                 (uint64_t)e->is.started_ms);
+  e->key = XXH3_64bits_withSeed (e->listing.id, strlen (e->listing.id),
+                                 (uint64_t)e->listing.started_ms);
   APR_RING_ELEM_INIT (e, link);
   APR_RING_INSERT_TAIL (&f->endpoints, e, fleet_endpoint, link);
-  g_hash_table_insert (f->by_id, e->is.id, e);
+  g_hash_table_insert (f->by_id, e->listing.id, e);
   return e;
 }
 
@@ -599,7 +600,7 @@
 fleet_apply_restart (struct fleet *f, struct fleet_endpoint *e,
                      int64_t started_ms, int64_t now_us)
 {
-  struct fleet_listing l = e->is;
+  struct fleet_listing l = e->listing;
 
   l.started_ms = started_ms;
   l.draining = false;
@@ -630,7 +631,7 @@
   if (l->cold_us > 0)
     cold_until (&e->cold, now_us + l->cold_us);
   /* by_id uses the id as its key; the new one is equal. */
-  e->is = *l;
+  e->listing = *l;
   /* Draining is final for an incarnation; the next one may be ready. */
   e->draining |= l->draining;
   e->missing_since_us = 0;
@@ -744,7 +745,7 @@
 service_of (const struct fleet *f, const struct fleet_endpoint *e)
 {
   return f->conf != NULL
-             ? g_hash_table_lookup (f->conf->services, e->is.service)
+             ? g_hash_table_lookup (f->conf->services, e->listing.service)
              : NULL;
 }
 
@@ -754,8 +755,8 @@
   const struct fleet_service *s = service_of (f, e);
   int share = 0;
 
-  if (s != NULL && f->cold_part != NULL)
-    share = f->cold_part (f->share_arg, e->key, s->cold_requests_s);
+  if (s != NULL && f->cold_share != NULL)
+    share = f->cold_share (f->share_arg, e->key, s->cold_requests_s);
   cold_set_share (&e->cold, share, now_us);
 }
 
--- a/fleet.h
+++ b/fleet.h
@@ -181,11 +181,11 @@
 struct fleet_endpoint
 {
   APR_RING_ENTRY (fleet_endpoint) link; /* in the fleet's list */
-  struct fleet_listing is;              /* last listing */
+  struct fleet_listing listing;         /* last listing */
   int refs;                             /* references: the list, and the
                                            requests at it */
   bool draining;            /* sticky: some source reported that it drains */
-  bool gone;                /* it is no longer listed */
+  bool removed;             /* it is no longer listed */
   int64_t missing_since_us; /* missing from the list since, while its removal
                                is unconfirmed; or 0 */
   int64_t version;          /* weight version by its latest report on any
@@ -295,7 +295,7 @@
                                 no limit */
   /* This VM's share of a cold endpoint's RATE, in requests a second; NULL if
      it knows no other VMs. */
-  int (*cold_part) (void *arg, uint64_t endpoint, int rate);
+  int (*cold_share) (void *arg, uint64_t endpoint, int rate);
   /* Interval between this VM's requests to an endpoint whose limit is
      MILLI_RPS; NULL if it knows no other VMs. */
   int64_t (*limit_interval_us) (void *arg, uint64_t endpoint,
@@ -429,10 +429,10 @@
 /* Prompt tokens of a request, by where they can be found. */
 struct pick_work
 {
-  int64_t shared; /* tokens in parts that other prompts share */
-  int64_t stored; /* of these, tokens in KV cache stores */
-  int64_t own;    /* all other tokens */
-  uint64_t part;  /* digest of the last shared part */
+  int64_t shared_tokens; /* tokens in parts that other prompts share */
+  int64_t stored_tokens; /* of these, tokens in KV cache stores */
+  int64_t own_tokens;    /* all other tokens */
+  uint64_t part;         /* digest of the last shared part */
 };
 
 struct load_table;
--- a/follow.c
+++ b/follow.c
@@ -191,8 +191,8 @@
              "endpoint=%s outcome=passed_over reason=life_%s source=list "
              "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT
              " row=%" G_GINT64_FORMAT,
-             e->is.id, fleet_incarnation_name (life),
-             (gint64)it->listing.started_ms, (gint64)e->is.started_ms,
+             e->listing.id, fleet_incarnation_name (life),
+             (gint64)it->listing.started_ms, (gint64)e->listing.started_ms,
              (gint64)it->row);
 }
 
@@ -206,7 +206,7 @@
   bool draining = old != NULL && old->draining;
   bool cold = old != NULL && !again && cold_is (&old->cold, now_us);
   int64_t version = old != NULL ? old->version : 0;
-  int64_t before = old != NULL ? old->is.started_ms : 0;
+  int64_t before = old != NULL ? old->listing.started_ms : 0;
   struct fleet_endpoint *e;
 
   if (old != NULL
@@ -223,15 +223,16 @@
                "version=%" G_GINT64_FORMAT " born_ms=%" G_GINT64_FORMAT
                " before_ms=%" G_GINT64_FORMAT
                " source=list row=%" G_GINT64_FORMAT,
-               e->is.id, again ? "started_again_" : "",
-               e->draining ? "draining" : "ready", e->is.service,
-               e->is.address, e->is.domain, (gint64)e->version,
-               (gint64)e->is.started_ms, (gint64)before, (gint64)it->row);
+               e->listing.id, again ? "started_again_" : "",
+               e->draining ? "draining" : "ready", e->listing.service,
+               e->listing.address, e->listing.domain, (gint64)e->version,
+               (gint64)e->listing.started_ms, (gint64)before, (gint64)it->row);
   if (!cold && cold_is (&e->cold, now_us))
     log_event (LOG_LEVEL_INFO, "endpoint_cold",
                "endpoint=%s domain=%s left_us=%" G_GINT64_FORMAT
                " row=%" G_GINT64_FORMAT,
-               e->is.id, e->is.domain, (gint64)e->is.cold_us, (gint64)it->row);
+               e->listing.id, e->listing.domain, (gint64)e->listing.cold_us,
+               (gint64)it->row);
 }
 
 /* An entry that lapsed while the list could not be read is doubted first. */
@@ -243,8 +244,8 @@
 
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s reason=%s service=%s running=%d",
-             e->is.id, counts ? "removed" : "doubted", reason, e->is.service,
-             e->running);
+             e->listing.id, counts ? "removed" : "doubted", reason,
+             e->listing.service, e->running);
   fleet_apply_missing (f, e, now_us);
 }
 
@@ -353,7 +354,7 @@
        e != APR_RING_SENTINEL (&f->endpoints, fleet_endpoint, link); e = next)
     {
       next = APR_RING_NEXT (e, link);
-      if (!is_in_news (n, e->is.id) && e->missing_since_us == 0)
+      if (!is_in_news (n, e->listing.id) && e->missing_since_us == 0)
         take_removed (f, e, "not_listed", now_us);
     }
 }
--- a/naming.c
+++ b/naming.c
@@ -23,7 +23,8 @@
              int64_t read_us)
 {
   int64_t since = fleet_earliest_outdated_us (f, e);
-  int64_t heard = fleet_version_learned_us (f, e->is.model, e->version + 1);
+  int64_t heard
+      = fleet_version_learned_us (f, e->listing.model, e->version + 1);
 
   return since == FLEET_NEVER
          || (heard - since > DOUBT_US && read_us < heard + RECORD_US);
@@ -88,7 +89,7 @@
         = is_outdated (f, e) ? fleet_earliest_outdated_us (f, e) : FLEET_NEVER;
     if (since == FLEET_NEVER)
       continue;
-    g_strlcpy (n.model, e->is.model, sizeof n.model);
+    g_strlcpy (n.model, e->listing.model, sizeof n.model);
     n.version = e->version + 1;
     n.since_ms = lease_earliest_ms (clock, since);
     lease_note_named (row, &n);
--- a/notice.c
+++ b/notice.c
@@ -25,7 +25,7 @@
                "endpoint=%s outcome=%s limit_milli=%" G_GINT64_FORMAT
                " before_milli=%" G_GINT64_FORMAT
                " source=%s sent_before_us=%" G_GINT64_FORMAT,
-               e->is.id, e->limit.active ? "named" : "lifted",
+               e->listing.id, e->limit.active ? "named" : "lifted",
                (gint64)(e->limit.active ? e->limit.milli_rps : -1),
                (gint64)(before.active ? before.milli_rps : -1), from->source,
                (gint64)(now_us - from->sent_us));
@@ -41,7 +41,7 @@
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=said_leaving source=%s running=%d "
              "sent_before_us=%" G_GINT64_FORMAT,
-             e->is.id, from->source, e->running,
+             e->listing.id, from->source, e->running,
              (gint64)(now_us - from->sent_us));
 }
 
@@ -58,7 +58,7 @@
   log_event (LOG_LEVEL_INFO, "endpoint_rest",
              "endpoint=%s asked_us=%" G_GINT64_FORMAT
              " source=%s sent_before_us=%" G_GINT64_FORMAT,
-             e->is.id, (gint64)n->backoff_us, from->source,
+             e->listing.id, (gint64)n->backoff_us, from->source,
              (gint64)(now_us - from->sent_us));
 }
 
--- a/orders.c
+++ b/orders.c
@@ -105,9 +105,9 @@
 {
   const struct fleet_wanted *w;
 
-  if (e->is.model[0] == '\0')
+  if (e->listing.model[0] == '\0')
     return 0;
-  w = fleet_wanted_of (o->opts.fleet, e->is.model);
+  w = fleet_wanted_of (o->opts.fleet, e->listing.model);
   return w != NULL ? w->version : 0;
 }
 
@@ -370,7 +370,7 @@
 {
   return t->phase == TASK_LOADING && now_us - t->since_us > t->again_us
          && (!t->unanswered
-             || has_place (t->orders, t->endpoint->is.model, now_us));
+             || has_place (t->orders, t->endpoint->listing.model, now_us));
 }
 
 /* An endpoint is to be ordered, now or again. */
@@ -475,7 +475,7 @@
   log_event (LOG_LEVEL_INFO, "order",
              "endpoint=%s outcome=%s model=%s version=%" G_GINT64_FORMAT
              " seq=%" G_GINT64_FORMAT " fence=%" G_GINT64_FORMAT,
-             t->endpoint->is.id, names[code], t->order.model,
+             t->endpoint->listing.id, names[code], t->order.model,
              (gint64)t->order.version, (gint64)t->order.seq,
              (gint64)t->order.fence);
   if (code == ORDER_HOLDS)
@@ -493,7 +493,7 @@
 {
   struct orders *o = t->orders;
 
-  t->order.model = t->endpoint->is.model;
+  t->order.model = t->endpoint->listing.model;
   t->order.version = wanted_version (o, t->endpoint);
   t->order.holder = o->holder;
   t->order.fence = o->fence;
@@ -526,15 +526,15 @@
   struct fleet_endpoint *e = t->endpoint;
   enum fleet_incarnation life = fleet_incarnation_compare (e, s->born_ms);
 
-  if (e->gone || life == FLEET_INCARNATION_SAME
+  if (e->removed || life == FLEET_INCARNATION_SAME
       || life == FLEET_INCARNATION_UNKNOWN)
-    return !e->gone;
+    return !e->removed;
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s source=report born_ms=%" G_GINT64_FORMAT
              " before_ms=%" G_GINT64_FORMAT,
-             e->is.id,
+             e->listing.id,
              life == FLEET_INCARNATION_NEWER ? "started_again" : "passed_over",
-             (gint64)s->born_ms, (gint64)e->is.started_ms);
+             (gint64)s->born_ms, (gint64)e->listing.started_ms);
   if (life == FLEET_INCARNATION_NEWER)
     fleet_apply_restart (t->orders->opts.fleet, e, s->born_ms, now_us);
   return false;
@@ -555,7 +555,7 @@
       LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
       "endpoint=%s version=%" G_GINT64_FORMAT " before=%" G_GINT64_FORMAT
       " took_us=%" G_GINT64_FORMAT,
-      e->is.id, (gint64)e->version, (gint64)before,
+      e->listing.id, (gint64)e->version, (gint64)before,
       (gint64)(e->reload_ordered_us ? now_us - e->reload_ordered_us : 0));
 }
 
@@ -578,7 +578,7 @@
     }
   if (!is_same_life (t, s, now))
     {
-      if (t->endpoint->gone)
+      if (t->endpoint->removed)
         loop_arm (o->opts.loop, &o->timer, now);
       return;
     }
@@ -690,7 +690,7 @@
   struct task *t;
 
   while (o->ntasks < MAX_TASKS && (e = next_endpoint (o)) != NULL
-         && has_place (o, e->is.model, now_us))
+         && has_place (o, e->listing.model, now_us))
     {
       t = g_new0 (struct task, 1);
       t->orders = o;
--- a/pick.c
+++ b/pick.c
@@ -162,7 +162,7 @@
                   int64_t now_us)
 {
   ewma_update (&e->first_chunk, wait_us, ENDPOINT_EWMA_DIVISOR, now_us);
-  ewma_update (&get_stats (f, e->is.service)->first_chunk, wait_us,
+  ewma_update (&get_stats (f, e->listing.service)->first_chunk, wait_us,
                SERVICE_EWMA_DIVISOR, now_us);
 }
 
@@ -187,7 +187,7 @@
 pick_learn_prefill_rate (struct fleet *f, const struct fleet_endpoint *e,
                          int64_t tokens, int64_t wait_us)
 {
-  struct fleet_service_stats *s = get_stats (f, e->is.service);
+  struct fleet_service_stats *s = get_stats (f, e->listing.service);
 
   if (tokens <= 0)
     return;
@@ -228,7 +228,7 @@
 pick_expected_wait_us (const struct fleet *f, const struct fleet_endpoint *e,
                        int64_t now_us)
 {
-  const struct fleet_service_stats *s = find_stats (f, e->is.service);
+  const struct fleet_service_stats *s = find_stats (f, e->listing.service);
   int64_t usual = s != NULL ? decayed (&s->first_chunk, 0, now_us) : 0;
 
   return decayed (&e->first_chunk, usual, now_us);
@@ -283,7 +283,7 @@
 static uint64_t
 id_hash (const struct fleet_endpoint *e)
 {
-  return XXH3_64bits (e->is.id, strlen (e->is.id));
+  return XXH3_64bits (e->listing.id, strlen (e->listing.id));
 }
 
 /*
@@ -318,7 +318,7 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (e->draining || strcmp (e->is.model, model) != 0
+    if (e->draining || strcmp (e->listing.model, model) != 0
         || !fleet_is_declared (f, e))
       continue;
     all++;
@@ -366,8 +366,8 @@
   if (e->draining || is_excluded (q, e) || is_too_old (f, e, now_us)
       || is_cold_rate_used (e, now_us) || !limit_may_place (&e->limit, now_us)
       || pick_is_backoff_requested (e, now_us)
-      || fleet_is_evacuated (f, e->is.domain)
-      || !fleet_is_region_allowed (f, &q->homes, e->is.domain))
+      || fleet_is_evacuated (f, e->listing.domain)
+      || !fleet_is_region_allowed (f, &q->homes, e->listing.domain))
     return TIER_INELIGIBLE;
   if (now_us < e->backoff_until_us)
     return TIER_BACKOFF;
@@ -408,7 +408,7 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (strcmp (e->is.service, q->service) != 0)
+    if (strcmp (e->listing.service, q->service) != 0)
       continue;
     s.serving += !e->draining;
     s.cold += !e->draining && is_cold_rate_used (e, now_us);
@@ -421,8 +421,8 @@
       }
     s.region_denied
         += !e->draining
-           && !fleet_is_region_allowed (f, &q->homes, e->is.domain);
-    s.evacuated += !e->draining && fleet_is_evacuated (f, e->is.domain);
+           && !fleet_is_region_allowed (f, &q->homes, e->listing.domain);
+    s.evacuated += !e->draining && fleet_is_evacuated (f, e->listing.domain);
     tier = tier_of (f, q, e, now_us);
     if (tier == TIER_INELIGIBLE)
       continue;
@@ -492,8 +492,9 @@
     w.prompt_memory_tokens
         = sv->kv_capacity_tokens * PROMPT_MEMORY_PERCENT / 100;
   w.shared_parts_us
-      = transfer_us (sv, q->work.stored, w.prefill_rate)
-        + prefill_us (q->work.shared - q->work.stored, w.prefill_rate);
+      = transfer_us (sv, q->work.stored_tokens, w.prefill_rate)
+        + prefill_us (q->work.shared_tokens - q->work.stored_tokens,
+                      w.prefill_rate);
   return w;
 }
 
@@ -524,7 +525,7 @@
   const struct pick_query *q = w->q;
   struct load_sum at = load_at (q->loads, e->key);
   bool has = load_has_part (q->loads, e->key, q->work.part);
-  int64_t need = q->work.own + (has ? 0 : q->work.shared);
+  int64_t need = q->work.own_tokens + (has ? 0 : q->work.shared_tokens);
   int64_t cost = prefill_us (at.pending_prefill_tokens, w->prefill_rate)
                  * PENDING_PREFILL_PERCENT / 100 * w->factors->pending_prefill
                  / 100;
@@ -532,7 +533,7 @@
   cost += memory_us (w, at.kv_tokens, need) * w->factors->memory / 100;
   if (!preferred && !has)
     cost += w->shared_parts_us * w->factors->parts / 100;
-  if (load_is_partial (q->loads) && strcmp (e->is.domain, q->domain) != 0)
+  if (load_is_partial (q->loads) && strcmp (e->listing.domain, q->domain) != 0)
     cost += REMOTE_DOMAIN_COST_US;
   return cost;
 }
@@ -548,7 +549,7 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (strcmp (e->is.service, q->service) != 0
+    if (strcmp (e->listing.service, q->service) != 0
         || !is_available (tier_of (f, q, e, now_us)))
       continue;
     score = affinity_score (q, e);
@@ -590,7 +591,7 @@
       = s->load * LOAD_BOUND_PERCENT / 100 / s->available + LOAD_BOUND_MARGIN;
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (strcmp (e->is.service, q->service) != 0
+    if (strcmp (e->listing.service, q->service) != 0
         || !is_available (tier_of (f, q, e, now_us)))
       continue;
     if (pick_load (e, now_us) >= bound)
@@ -622,11 +623,11 @@
 
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    if (strcmp (e->is.service, q->service) != 0
+    if (strcmp (e->listing.service, q->service) != 0
         || tier_of (f, q, e, now_us) != s->best)
       continue;
     cost = 2 * (int64_t)pick_load (e, now_us)
-           + (strcmp (e->is.domain, q->domain) != 0);
+           + (strcmp (e->listing.domain, q->domain) != 0);
     tie_break = id_hash (e) ^ (q->random * UINT64_C (0x9E3779B97F4A7C15));
     if (best == NULL || cost < low
         || (cost == low && tie_break < best_tie_break))
--- a/regress/modellives.c
+++ b/regress/modellives.c
@@ -40,7 +40,7 @@
 
   APR_RING_FOREACH (f, &v->fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     if (f->version == world.endpoints[i].version)
       continue;
     answer = world_at (world.now_us + TRAVEL_US, v->index, refused);
@@ -61,7 +61,7 @@
 
   APR_RING_FOREACH (f, &world.vms[0].fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     highest[i] = MAX (highest[i], f->version);
     f->version = highest[i];
     f->version_doubted = false;
@@ -81,11 +81,11 @@
                   world.endpoints[i].version);
   APR_RING_FOREACH (f, &world.vms[0].fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     if (f->version != world.endpoints[i].version || f->version_doubted)
       model_fail ("weights are believed that are not there", f->version);
-    if (f->is.started_ms != world.endpoints[i].born_ms)
-      model_fail ("a life is not heard of", f->is.started_ms);
+    if (f->listing.started_ms != world.endpoints[i].born_ms)
+      model_fail ("a life is not heard of", f->listing.started_ms);
   }
 }
 
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -431,7 +431,7 @@
 
   if (!world_leaves (v, lost ? 0 : way))
     return;
-  w = &world.endpoints[f->is.id[0] - '0'];
+  w = &world.endpoints[f->listing.id[0] - '0'];
   e = world_at (world.now_us + (lost ? 400 * MS : 2 * TRAVEL_US), v->index,
                 answer_state);
   e->state = done;
@@ -615,7 +615,7 @@
 
   if (world.lives)
     {
-      order_with_lives (v, f->is.id[0] - '0', o, done, arg);
+      order_with_lives (v, f->listing.id[0] - '0', o, done, arg);
       return;
     }
   if (!world_leaves (v, way < WORLD_LEAVE_WAYS ? way : 0))
@@ -635,7 +635,8 @@
       e->at_us = world.now_us + 800 * MS;
     }
   if (!lost)
-    send_order (v, f->is.id[0] - '0', o, late ? LATE_ORDER_US : TRAVEL_US);
+    send_order (v, f->listing.id[0] - '0', o,
+                late ? LATE_ORDER_US : TRAVEL_US);
 }
 
 /* --- one run --------------------------------------------------------- */
--- a/regress/relayplay.c
+++ b/regress/relayplay.c
@@ -15,7 +15,7 @@
 {
   struct play *p = ctx;
 
-  g_strlcpy (p->to[p->sends % 4], s->endpoint->is.id, FLEET_NAME_SIZE);
+  g_strlcpy (p->to[p->sends % 4], s->endpoint->listing.id, FLEET_NAME_SIZE);
   p->sends++;
   p->event = events;
   p->arg = arg;
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -107,7 +107,7 @@
   int i, cold = 0;
 
   declare_cold (p);
-  p->fleet.cold_part = one_a_second;
+  p->fleet.cold_share = one_a_second;
   cold_until (&play_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
   for (i = 0; i < 20; i++)
--- a/regress/test-evac.c
+++ b/regress/test-evac.c
@@ -13,7 +13,7 @@
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
 
-  g_strlcpy (e->is.domain, domain, sizeof e->is.domain);
+  g_strlcpy (e->listing.domain, domain, sizeof e->listing.domain);
   return e;
 }
 
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -24,7 +24,7 @@
   for (i = 0; i < G_N_ELEMENTS (domains); i++)
     {
       e = g_hash_table_lookup (p->fleet.by_id, domains[i][0]);
-      g_strlcpy (e->is.domain, domains[i][1], sizeof e->is.domain);
+      g_strlcpy (e->listing.domain, domains[i][1], sizeof e->listing.domain);
     }
   g_assert_true (fleet_parse_regions (&p->fleet, "east=r1 west=r2"));
   return p;
@@ -84,7 +84,7 @@
   struct play *p = two_regions ();
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
 
-  g_strlcpy (b->is.domain, "new", sizeof b->is.domain);
+  g_strlcpy (b->listing.domain, "new", sizeof b->listing.domain);
   workspace (p)->allowed_regions = regions ("r2");
   play_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
--- a/regress/test-lives.c
+++ b/regress/test-lives.c
@@ -58,7 +58,7 @@
   fleet_apply_version (old, 2, FLEET_NEVER, S);
   e = take (&f, 2000, 2, false);
   g_assert_true (e != old);
-  g_assert_true (old->gone);
+  g_assert_true (old->removed);
   pick_request_ended (old);
   pick_load_reported (old, 30, S);
   g_assert_false (e->draining);
@@ -133,10 +133,10 @@
   old = take (&f, 1000, 1, true);
   fleet_apply_version (old, 4, FLEET_NEVER, S);
   e = fleet_apply_restart (&f, old, 2000, S);
-  g_assert_cmpint (e->is.started_ms, ==, 2000);
+  g_assert_cmpint (e->listing.started_ms, ==, 2000);
   g_assert_false (e->draining);
   g_assert_cmpint (e->version, ==, 4);
-  g_assert_cmpstr (e->is.address, ==, "127.0.0.1:1");
+  g_assert_cmpstr (e->listing.address, ==, "127.0.0.1:1");
   g_assert_true (take (&f, 1000, 1, true) == e);
   g_assert_false (e->draining);
   fleet_clear (&f);
--- a/regress/test-load.c
+++ b/regress/test-load.c
@@ -246,8 +246,8 @@
   struct pick_query q = { .service = "model", .domain = "d0" };
 
   q.affinity = part;
-  q.work.shared = shared;
-  q.work.own = own;
+  q.work.shared_tokens = shared;
+  q.work.own_tokens = own;
   return q;
 }
 
@@ -324,13 +324,14 @@
       g_snprintf (part, sizeof part, "p%d", i);
       q = query (part, 300, 80);
       q.loads = b;
-      g_assert_cmpstr (pick_endpoint (&f, &q, S).endpoint->is.domain, ==,
+      g_assert_cmpstr (pick_endpoint (&f, &q, S).endpoint->listing.domain, ==,
                        "d0");
     }
   for (i = 0; i < ENDPOINTS; i += 3)
     add_work (&w, endpoint (&f, i)->key, 60000, 0);
   load_update (b, &w, S);
-  g_assert_cmpstr (pick_endpoint (&f, &q, S).endpoint->is.domain, !=, "d0");
+  g_assert_cmpstr (pick_endpoint (&f, &q, S).endpoint->listing.domain, !=,
+                   "d0");
   load_free (b);
   fleet_clear (&f);
 }
@@ -378,13 +379,13 @@
 {
   struct pick_query q
       = query (part, is_long ? 13000 : 300, is_long ? 4000 : 80);
-  int64_t tokens = q.work.shared + q.work.own;
+  int64_t tokens = q.work.shared_tokens + q.work.own_tokens;
   struct fleet_endpoint *e;
   int at;
 
   q.loads = told ? d->books[vm] : NULL;
   e = pick_endpoint (&d->fleets[vm], &q, now_ms * MS).endpoint;
-  at = atoi (e->is.id + 1);
+  at = atoi (e->listing.id + 1);
   d->free_ms[at] = MAX (d->free_ms[at], now_ms) + READ_MS (tokens);
   if (is_long)
     {
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -56,7 +56,7 @@
   start_at_a (p);
   say (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  ready = play_endpoint (p, "a")->is;
+  ready = play_endpoint (p, "a")->listing;
   fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   /* The next life has said nothing. */
@@ -73,7 +73,7 @@
 {
   static const struct notice leaving = { .leaving = true };
   struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = play_endpoint (p, "a")->is;
+  struct fleet_listing ready = play_endpoint (p, "a")->listing;
 
   start_at_a (p);
   fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
@@ -142,7 +142,7 @@
 test_rest (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = play_endpoint (p, "a")->is;
+  struct fleet_listing ready = play_endpoint (p, "a")->listing;
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
@@ -163,7 +163,7 @@
 test_start_heard_late (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
-  struct fleet_listing l = play_endpoint (p, "a")->is;
+  struct fleet_listing l = play_endpoint (p, "a")->listing;
   static const struct notice limit
       = { .has_limit = true, .limit_milli_rps = 1000 };
   static const struct notice_origin from
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -213,7 +213,7 @@
   s.seq = st->seq;
   if (st->each_busy)
     {
-      s.busy = g_hash_table_contains (st->loading, e->is.id);
+      s.busy = g_hash_table_contains (st->loading, e->listing.id);
       s.seq = s.busy;
     }
   s.version = st->version;
@@ -240,7 +240,7 @@
   if (!st->lose_orders && st->each_busy)
     {
       st->seq++;
-      g_hash_table_add (st->loading, g_strdup (e->is.id));
+      g_hash_table_add (st->loading, g_strdup (e->listing.id));
     }
   else if (!st->lose_orders)
     {
@@ -426,7 +426,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 1000;
-  endpoint_of (st)->is.started_ms = 1000;
+  endpoint_of (st)->listing.started_ms = 1000;
   st->hold_busy = true;
   name_version (st);
   wait_until (st, was_sent);
@@ -437,7 +437,7 @@
   st->born_ms = 2000;
   wait_until (st, was_sent_again);
   g_assert_cmpint (st->last_seq, ==, 0);
-  g_assert_cmpint (endpoint_of (st)->is.started_ms, ==, 2000);
+  g_assert_cmpint (endpoint_of (st)->listing.started_ms, ==, 2000);
   wait_until (st, is_released);
   stage_free (st);
 }
@@ -453,7 +453,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 1000;
-  endpoint_of (st)->is.started_ms = 2000;
+  endpoint_of (st)->listing.started_ms = 2000;
   st->seq = 3;
   st->version = 2;
   name_version (st);
@@ -482,7 +482,7 @@
   struct stage *st = stage_new ();
 
   st->born_ms = 0;
-  endpoint_of (st)->is.started_ms = 2000;
+  endpoint_of (st)->listing.started_ms = 2000;
   name_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -648,7 +648,7 @@
   b->draining = true;
   fleet_apply_wanted (&p->fleet, "m", 4, now, now);
   play_start (p);
-  g_assert_cmpstr (p->to[0], ==, a->is.id);
+  g_assert_cmpstr (p->to[0], ==, a->listing.id);
   b->draining = false;
   fleet_apply_version (b, 4, FLEET_NEVER, loop_now_us ());
 }
@@ -777,7 +777,7 @@
 start_again (struct play *p, const char *id, int64_t born_ms)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
-  struct fleet_listing l = e->is;
+  struct fleet_listing l = e->listing;
 
   l.started_ms = born_ms;
   return fleet_apply_listing (&p->fleet, &l, loop_now_us ());
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -88,7 +88,7 @@
              " running=%d waiting=%d endpoint=%s",
              r->service, s->limited ? "limited" : "open", keep,
              (gint64)s->admit.pressure, r->running, r->waiting,
-             r->endpoint->is.id);
+             r->endpoint->listing.id);
 }
 
 void
@@ -167,7 +167,7 @@
              "req=%s route=%s endpoint=%s workspace=%s rank=%d keep=%d "
              "admit=%d pressure=%" G_GINT64_FORMAT " wait_us=%" G_GINT64_FORMAT
              " left_us=%" G_GINT64_FORMAT " candidates=%d over_bound=%d",
-             r->desc.id, r->route->name, c->endpoint->is.id,
+             r->desc.id, r->route->name, c->endpoint->listing.id,
              relay_workspace (r), r->rank, keep, admit_keep (a, now_us),
              (gint64)a->pressure,
              (gint64)(now_us - r->arrived_us + c->wait_us),
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -108,7 +108,7 @@
   s->probing = false;
   log_event (LOG_LEVEL_INFO, "endpoint_broke",
              "endpoint=%s outcome=%s requests=%d since_us=%" G_GINT64_FORMAT,
-             s->endpoint->is.id, names[probe], s->n,
+             s->endpoint->listing.id, names[probe], s->n,
              (gint64)(now - s->broke_us));
   if (s->owner->closed)
     {
@@ -210,7 +210,7 @@
   struct broken *b;
   struct suspect *s;
 
-  if (e->draining || e->gone)
+  if (e->draining || e->removed)
     return;
   s = need (owner, e);
   if (s == NULL)
--- a/relayquar.c
+++ b/relayquar.c
@@ -23,7 +23,7 @@
   int n = 0;
 
   APR_RING_FOREACH (e, &r->rs->opts.fleet->endpoints, fleet_endpoint, link)
-  n += strcmp (e->is.service, r->service) == 0;
+  n += strcmp (e->listing.service, r->service) == 0;
   return n;
 }
 
--- a/relaytry.c
+++ b/relaytry.c
@@ -111,9 +111,9 @@
     r->stopped = "key_revoked";
   else if (now >= r->end_us)
     r->stopped = "deadline";
-  else if (r->endpoint->draining || r->endpoint->gone)
+  else if (r->endpoint->draining || r->endpoint->removed)
     r->stopped = STOPPED_LEFT;
-  else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->is.domain))
+  else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->listing.domain))
     r->stopped = STOPPED_EVACUATED;
   else if (is_outdated (r, r->rs->opts.fleet->outdated_accept_us, now))
     r->stopped = STOPPED_OUTDATED;
@@ -219,7 +219,8 @@
       r->begun = true;
       r->first_us = loop_now_us ();
       pick_learn_prefill_rate (r->rs->opts.fleet, r->endpoint,
-                               r->ahead + r->shared_unread + r->work.own,
+                               r->ahead + r->shared_unread
+                                   + r->work.own_tokens,
                                r->first_us - r->sent_us);
       met_observe (MET_FIRST_TOKEN, r->first_us - r->arrived_us);
       relay_waited (r, r->first_us);
@@ -383,8 +384,8 @@
   log_event (LOG_LEVEL_INFO, "attempt_end",
              "req=%s endpoint=%s attempt=%d sent=%s status=%d next=%s "
              "reason=%s took_us=%" G_GINT64_FORMAT " digest=%s error=\"%s\"",
-             r->desc.id, r->endpoint->is.id, r->attempts, out_send_name (sent),
-             r->status, out_next_name (v->next), reason,
+             r->desc.id, r->endpoint->listing.id, r->attempts,
+             out_send_name (sent), r->status, out_next_name (v->next), reason,
              (gint64)(now_us - r->sent_us), text, error);
 }
 
@@ -453,7 +454,7 @@
 {
   bool alone = r->workspace != NULL && r->workspace->isolated;
 
-  parts_scope (r->cache_scope, c->endpoint->is.model, c->version,
+  parts_scope (r->cache_scope, c->endpoint->listing.model, c->version,
                alone ? r->workspace->name : NULL);
 }
 
@@ -481,7 +482,7 @@
   if (o->parts == NULL || !r->route->sticky)
     return;
   q.n = r->desc.nparts;
-  q.domain = c->endpoint->is.domain;
+  q.domain = c->endpoint->listing.domain;
   q.fresh_us = o->fleet->conf_current_us;
   q.outdated = newer != NULL;
   q.named_us = MAX (fleet_earliest_outdated_us (o->fleet, c->endpoint), 0);
@@ -528,7 +529,7 @@
 attempt (struct relay *r, const struct pick_choice *c, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
-  bool model = c->endpoint->is.model[0] != '\0';
+  bool model = c->endpoint->listing.model[0] != '\0';
   const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
   struct relay_send s = { .desc = &r->desc, .endpoint = c->endpoint };
 
@@ -539,7 +540,8 @@
   pace_placed (&r->endpoint->limit.pace, now_us);
   r->unread = true;
   r->ahead = c->pending_prefill_tokens;
-  r->shared_unread = c->has_part ? 0 : r->work.shared - r->work.stored;
+  r->shared_unread
+      = c->has_part ? 0 : r->work.shared_tokens - r->work.stored_tokens;
   r->handed_over = false;
   r->stopped = NULL;
   r->status = 0;
@@ -577,9 +579,9 @@
       " newer_us=%" G_GINT64_FORMAT " limit_milli=%" G_GINT64_FORMAT
       " left_us=%" G_GINT64_FORMAT " conf=%" G_GINT64_FORMAT
       " conf_age_us=%" G_GINT64_FORMAT,
-      r->desc.id, r->route->name, c->endpoint->is.id, c->load, c->candidates,
-      c->over_bound, (gint64)c->pending_prefill_tokens, (gint64)c->kv_tokens,
-      (gint64)c->wait_us, r->kept.nfetch, r->kept.nsave,
+      r->desc.id, r->route->name, c->endpoint->listing.id, c->load,
+      c->candidates, c->over_bound, (gint64)c->pending_prefill_tokens,
+      (gint64)c->kv_tokens, (gint64)c->wait_us, r->kept.nfetch, r->kept.nsave,
       (gint64)r->kept.fetch_tokens, (gint64)s.version,
       (gint64)(newer != NULL ? newer->version : 0),
       (gint64)newer_us (o->fleet, c->endpoint, now_us),
--- a/relaywork.c
+++ b/relaywork.c
@@ -47,18 +47,18 @@
   if (sv == NULL || sv->model == NULL || r->desc.nparts == 0)
     return;
   for (i = 0; i < r->desc.nparts - 1; i++)
-    r->work.shared += r->desc.parts[i].tokens;
-  r->work.own = r->desc.parts[i].tokens;
+    r->work.shared_tokens += r->desc.parts[i].tokens;
+  r->work.own_tokens = r->desc.parts[i].tokens;
   r->work.part = part_digest (r, alone);
-  r->heavy
-      = (r->work.shared + r->work.own) * SMALL_PART > sv->kv_capacity_tokens;
+  r->heavy = (r->work.shared_tokens + r->work.own_tokens) * SMALL_PART
+             > sv->kv_capacity_tokens;
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
   parts_scope (scope, sv->model, w != NULL ? w->version : 1,
                alone ? r->workspace->name : NULL);
-  r->work.stored = parts_stored (o->parts, scope, r->desc.parts,
-                                 r->desc.nparts - 1, o->domain, now_us);
+  r->work.stored_tokens = parts_stored (o->parts, scope, r->desc.parts,
+                                        r->desc.nparts - 1, o->domain, now_us);
 }
 
 /* --- what is under way ----------------------------------------------- */
@@ -96,7 +96,7 @@
   e = &w->entries[w->nentries++];
   *e = (struct load_entry){ .endpoint = r->endpoint->key,
                             .part = r->work.part,
-                            .shared_kv_tokens = r->work.shared };
+                            .shared_kv_tokens = r->work.shared_tokens };
   return e;
 }
 
@@ -116,10 +116,10 @@
     e = entry_of (w, r);
     if (e == NULL)
       continue;
-    e->kv_tokens += r->work.own;
+    e->kv_tokens += r->work.own_tokens;
     if (!r->unread)
       continue;
-    e->pending_prefill_tokens += r->work.own;
+    e->pending_prefill_tokens += r->work.own_tokens;
     e->shared_pending_prefill_tokens
         = MAX (e->shared_pending_prefill_tokens, r->shared_unread);
   }
