--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -1,4 +1,4 @@
-/* Unit tests of cold endpoints: who may send there, and when. */
+/* Unit tests of cold endpoints: which VMs may send there, and when. */
 #include <glib.h>
 #include <string.h>
 
@@ -7,13 +7,13 @@
 #include "tell.h"
 #include "units.h"
 
-#define RATES 40   /* requests a second, up to */
-#define VMS 100    /* VMs, up to */
-#define TRIES 5000 /* draws in the play of one VM */
+#define RATES 40   /* highest rate, requests a second */
+#define VMS 100    /* most VMs */
+#define TRIES 5000 /* attempts of the simulated VM */
 
-/* Guards against parts that add up to more than the endpoint bears. */
+/* Guards against shares that add up to more than the endpoint can take. */
 static void
-test_parts (void)
+test_shares (void)
 {
   int rate, vms, rank, sum;
 
@@ -28,7 +28,7 @@
       }
 }
 
-/* Guards against a second that holds more than a VM's part of the rate. */
+/* Guards against a second that holds more than a VM's share of the rate. */
 static void
 test_second (void)
 {
@@ -51,9 +51,9 @@
   g_assert_cmpint (n, >, 100);
 }
 
-/* Guards against VMs that are gone and keep their share of duties, and against
-   live ones that lose theirs since they are read more often than they write.
- */
+/* Guards against VMs that have ended and keep their share of duties, and
+   against live ones that lose theirs because they are read more often than
+   they write. */
 static void
 test_roster_age (void)
 {
@@ -99,7 +99,7 @@
   g_hash_table_replace (p->fleet.conf->services, s->name, s);
 }
 
-/* Guards against a burst at an endpoint that bears one request a second. */
+/* Guards against a burst at an endpoint that can take one request a second. */
 static void
 test_burst (void)
 {
@@ -135,8 +135,8 @@
   play_free (p);
 }
 
-/* Guards against requests that wait for endpoints that are all cold, where
-   other VMs have the rate. */
+/* Guards against requests that wait for endpoints that are all cold, when
+   other VMs have the shares of their rate. */
 static void
 test_all_cold (void)
 {
@@ -155,7 +155,7 @@
 }
 
 const struct unit cold_units[] = {
-  { "/cold/parts", test_parts },
+  { "/cold/shares", test_shares },
   { "/cold/second", test_second },
   { "/roster/age", test_roster_age },
   { "/cold/burst", test_burst },
--- a/regress/test-fleet.c
+++ b/regress/test-fleet.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of what a VM believes of its fleet, of the choice of an endpoint,
- * and of streams that are passed on.
+ * Unit tests of what a VM knows of its fleet, of endpoint selection, and of
+ * streams that are relayed.
  */
 #include <glib.h>
 #include <string.h>
@@ -46,12 +46,12 @@
 /* --- configuration --------------------------------------------------- */
 
 /*
- * A read is overtaken by a later one, or a source lags.  Taking the older
- * configuration would open a route or a key again that was taken away, and a
- * caller would see the system go back.
+ * A reply arrives after a later one, or a source lags.  Applying the older
+ * configuration would restore a route or a key that was removed, and callers
+ * would see the system revert.
  */
 static void
-test_never_back (void)
+test_conf_never_reverts (void)
 {
   struct fleet f;
 
@@ -90,7 +90,7 @@
   return g_string_free (s, FALSE);
 }
 
-/* The index by host against a scan of all routes. */
+/* Compares the index by host with a scan of all routes. */
 static void
 test_route_naive (void)
 {
@@ -132,10 +132,11 @@
 /* --- endpoints ------------------------------------------------------- */
 
 /*
- * The list could not be read for a while, and entries of live endpoints
- * lapsed meanwhile: they come back within two seconds.  Dropping them at once
- * would leave callers without an endpoint; keeping one for ever would send
- * work to one that is gone.  In calm a removal counts at once.
+ * The list could not be read for a while, and entries of live endpoints lapsed
+ * meanwhile: they return within two seconds.  Removing them at once would
+ * leave callers without an endpoint; keeping one forever would send requests
+ * to one that has ended.  While the list is readable, a removal counts at
+ * once.
  */
 static void
 test_missing (void)
@@ -161,10 +162,10 @@
   fleet_clear (&f);
 }
 
-/* An endpoint said that it leaves; an entry read late says "ready".  Work
-   sent there again would reach it after its last moment. */
+/* An endpoint reported that it drains; an entry that is read late says
+   "ready".  Requests sent there again could arrive after it has ended. */
 static void
-test_leaving_sticky (void)
+test_draining_sticky (void)
 {
   struct fleet f;
   struct fleet_listing l = listing ("a", 1);
@@ -179,8 +180,8 @@
   fleet_clear (&f);
 }
 
-/* Version 3 is named while 2 is not in place: endpoints with 1 are outdated
-   since 2 was named, those with 2 since 3 was. */
+/* Version 3 is announced while 2 is not loaded yet: endpoints with 1 are
+   outdated since 2 was announced, those with 2 since 3 was. */
 static void
 test_outdated (void)
 {
@@ -207,7 +208,7 @@
 #define ENDPOINTS 9
 
 static void
-nine (struct fleet *f)
+add_nine_endpoints (struct fleet *f)
 {
   char id[8];
   int i;
@@ -230,8 +231,8 @@
   return q;
 }
 
-/* Requests that share a part return to one endpoint while it has room; when
-   all want the same part, no endpoint gets more than the bound. */
+/* Requests that share a part go to one endpoint while it has capacity; when
+   all have the same part, no endpoint gets more than the bound. */
 static void
 test_sticky_bounded (void)
 {
@@ -241,7 +242,7 @@
   struct fleet_endpoint *e;
   int i;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   first = pick_endpoint (&f, &q, S);
   for (i = 0; i < 900; i++)
     {
@@ -257,13 +258,14 @@
 }
 
 /*
- * Two of nine endpoints have the weights named last.  If all work went to
- * them, each prompt would be read anew at these two and callers would wait
- * seconds; if those whose turn is next were kept free, the others would have
- * it all.  Each endpoint gets its share, whether or not anybody orders.
+ * Two of nine endpoints have the newest weights.  If all requests went to
+ * them, each prompt would be prefilled again at these two and callers would
+ * wait seconds; if the endpoints that reload next were left idle, the others
+ * would get all requests.  Each endpoint gets its share, whether or not
+ * reloads are ordered.
  */
 static void
-test_all_serve_while_changing (void)
+test_all_serve_during_reload (void)
 {
   struct fleet f;
   struct pick_query q;
@@ -272,7 +274,7 @@
   char part[16];
   int i, n = 0;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   fleet_apply_wanted (&f, "m", 2, S, S);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
@@ -286,7 +288,7 @@
       c = pick_endpoint (&f, &q, S + (i < 450 ? 1 : 4 * S));
       pick_request_sent (c.endpoint);
     }
-  /* A ninth each, more or less. */
+  /* About a ninth each. */
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     g_assert_cmpint (e->running, >=, 70);
@@ -296,9 +298,9 @@
 }
 
 /*
- * Version 3 is named while two endpoints have 2 and the others 1.  These two
- * change last: their bound is over last, and their runs are of the newest
- * weights there are.
+ * Version 3 is announced while two endpoints have 2 and the others 1.  These
+ * two reload last: their time limit ends last, and their answers come from the
+ * newest weights that are loaded.
  */
 static void
 test_oldest_weights_first (void)
@@ -307,7 +309,7 @@
   struct fleet_endpoint *e, *o;
   int n = 0;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     if (n++ < 2)
@@ -325,19 +327,19 @@
 }
 
 /*
- * One of many VMs hears of one of many endpoints every few seconds.  Two of
- * nine answered it after a second; the other seven must not count as idle,
- * though it has heard nothing of them.  When it hears nothing of any endpoint
- * for long, they do.
+ * With many VMs and endpoints, a VM gets an answer from an endpoint only every
+ * few seconds.  Two of nine answered after a second; the other seven must not
+ * count as idle although they have no samples.  Without samples from any
+ * endpoint for long, they do.
  */
 static void
-test_wait_of_service (void)
+test_expected_wait (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
   int i, n = 0;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     for (i = 0; n < 2 && i < 20; i++)
@@ -350,7 +352,7 @@
                      900 * MS);
     g_assert_cmpint (pick_expected_wait_us (&f, e, 30 * S), <, 10 * MS);
   }
-  /* Its own last word goes before that of the others. */
+  /* Its own recent samples count more than those of the others. */
   e = APR_RING_LAST (&f.endpoints);
   for (i = 0; i < 20; i++)
     pick_first_chunk (&f, e, 100 * MS, 11 * S);
@@ -358,16 +360,16 @@
   fleet_clear (&f);
 }
 
-/* Two of nine endpoints change weights at once, a fifth of a hundred, and
-   twice as many once the old ones take no work. */
+/* Two of nine endpoints reload weights at a time, a fifth of a hundred, and
+   twice as many once the old weights take no requests. */
 static void
-test_reload_width (void)
+test_reload_max (void)
 {
   struct fleet f;
   char id[8];
   int i;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   f.outdated_accept_us = 9 * S;
   g_assert_cmpint (pick_reload_max (&f, "m", S), ==, 2);
   for (i = ENDPOINTS; i < 100; i++)
@@ -381,14 +383,15 @@
   fleet_clear (&f);
 }
 
-/* Past the bound a request must not begin on old weights: rather none. */
+/* After the time limit no request may start on old weights, even if it is then
+   refused. */
 static void
 test_too_old (void)
 {
   struct fleet f;
   struct pick_query q = query (NULL);
 
-  nine (&f);
+  add_nine_endpoints (&f);
   f.outdated_accept_us = 9 * S;
   fleet_apply_wanted (&f, "m", 2, S, S);
   g_assert_cmpint (pick_endpoint (&f, &q, 9 * S).code, ==, PICK_CHOSEN);
@@ -396,15 +399,15 @@
   fleet_clear (&f);
 }
 
-/* One failure may be the request's own; two in a row rest the endpoint, twice
-   as long each time, and an answer ends it. */
+/* One failure may be caused by the request; two in a row start the endpoint's
+   backoff, which doubles each time, and an answer ends it. */
 static void
-test_rest (void)
+test_backoff (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
 
-  nine (&f);
+  add_nine_endpoints (&f);
   e = APR_RING_FIRST (&f.endpoints);
   pick_request_failed (e, S);
   g_assert_cmpint (e->backoff_until_us, <=, S);
@@ -417,16 +420,16 @@
   fleet_clear (&f);
 }
 
-/* All endpoints failed lately, as after a cut that has just healed.  Refusing
-   everything until one has rested would be an outage of our own making. */
+/* All endpoints failed recently, as after a partition that has just ended.
+   Refusing all requests until a backoff ends would prolong the outage. */
 static void
-test_all_resting (void)
+test_all_in_backoff (void)
 {
   struct fleet f;
   struct fleet_endpoint *e;
   struct pick_query q = query ("part");
 
-  nine (&f);
+  add_nine_endpoints (&f);
   APR_RING_FOREACH (e, &f.endpoints, fleet_endpoint, link)
   {
     pick_request_failed (e, S);
@@ -441,8 +444,8 @@
 
 /* --- streams --------------------------------------------------------- */
 
-/* Whatever the cuts, whole events come out in order, each once, though a run
-   that goes on repeats two of them. */
+/* However the bytes are split, complete events come out in order, each once,
+   although a resumed stream repeats two of them. */
 static void
 test_events (void)
 {
@@ -452,7 +455,7 @@
   for (round = 0; round < 300; round++)
     {
       g_autoptr (GString) whole = g_string_new (NULL);
-      g_autoptr (GString) again = g_string_new (NULL);
+      g_autoptr (GString) resumed = g_string_new (NULL);
       g_autoptr (GString) out = g_string_new (NULL);
       const char *nl = round % 2 ? "\r\n" : "\n";
       struct evt e;
@@ -472,12 +475,12 @@
       g_assert_cmpstr (out->str, ==, whole->str);
       g_assert_false (evt_in_part (&e));
       g_assert_cmpint (e.last_id, ==, 33);
-      g_string_printf (again, "id: 30%sdata: a%s%sid: 36%sdata: b%s%s", nl, nl,
-                       nl, nl, nl, nl);
+      g_string_printf (resumed, "id: 30%sdata: a%s%sid: 36%sdata: b%s%s", nl,
+                       nl, nl, nl, nl, nl);
       g_string_truncate (out, 0);
       evt_feed (&e, "id: 3", 5, 4096, out);
       evt_restart (&e);
-      evt_feed (&e, again->str, again->len, 4096, out);
+      evt_feed (&e, resumed->str, resumed->len, 4096, out);
       g_assert_true (g_str_has_prefix (out->str, "id: 36"));
       evt_clear (&e);
     }
@@ -485,9 +488,10 @@
 }
 
 /*
- * A VM boots two seconds after newer weights were named, so on its clock that
- * was before zero.  It reads when they were named, and old weights have six
- * seconds left: refused meanwhile, callers get nothing while endpoints load.
+ * A VM boots two seconds after newer weights were announced, which is before
+ * zero on its clock.  It reads the time of the announcement, and old weights
+ * have six seconds left: if they were refused meanwhile, callers would get no
+ * answers while endpoints load.
  */
 static void
 test_named_before_boot (void)
@@ -508,19 +512,19 @@
 }
 
 const struct unit fleet_units[] = {
-  { "/fleet/never-back", test_never_back },
+  { "/fleet/conf-never-reverts", test_conf_never_reverts },
   { "/fleet/route-naive", test_route_naive },
   { "/fleet/missing", test_missing },
-  { "/fleet/leaving-sticky", test_leaving_sticky },
+  { "/fleet/draining-sticky", test_draining_sticky },
   { "/fleet/outdated", test_outdated },
   { "/pick/sticky-bounded", test_sticky_bounded },
-  { "/pick/all-serve-while-changing", test_all_serve_while_changing },
+  { "/pick/all-serve-during-reload", test_all_serve_during_reload },
   { "/pick/oldest-weights-first", test_oldest_weights_first },
-  { "/pick/wait-of-service", test_wait_of_service },
-  { "/pick/reload-width", test_reload_width },
+  { "/pick/expected-wait", test_expected_wait },
+  { "/pick/reload-max", test_reload_max },
   { "/pick/too-old", test_too_old },
-  { "/pick/rest", test_rest },
-  { "/pick/all-resting", test_all_resting },
+  { "/pick/backoff", test_backoff },
+  { "/pick/all-in-backoff", test_all_in_backoff },
   { "/evt/cuts", test_events },
   { "/fleet/named-before-boot", test_named_before_boot },
   { NULL, NULL },
--- a/regress/test-fresh.c
+++ b/regress/test-fresh.c
@@ -1,6 +1,6 @@
 /*
  * Unit tests of how long settings are known to be the newest: what confirms
- * them, and from when on.
+ * them, and from which time on.
  */
 #include <glib.h>
 
@@ -11,8 +11,8 @@
 #define S CQ_US_PER_S
 #define LIMIT (10 * S)
 
-/* A VM starts and has heard nobody: its settings are old, whatever it was
-   started with, and it has no age to tell. */
+/* A VM has started and got no report yet: its settings count as expired,
+   whatever it was started with, and it has no age to report. */
 static void
 test_unknown (void)
 {
@@ -23,12 +23,12 @@
 }
 
 /*
- * A VM's confirmation is nine seconds old when another one asks it.  The other
- * has its settings for one second more, and not for ten, however late it
- * handles the answer; and what it tells a third one is no younger.
+ * A VM's confirmation is nine seconds old when another VM asks it.  The other
+ * may use its settings for one more second, and not for ten, however late it
+ * handles the answer; the age that it reports to a third one is no smaller.
  */
 static void
-test_passed_on (void)
+test_forwarded (void)
 {
   struct fresh a = { .is_confirmed = false };
   struct fresh b = { .is_confirmed = false };
@@ -45,7 +45,8 @@
   g_assert_cmpint (fresh_age_ms (&b, 109 * S), >, 9000);
 }
 
-/* Answers come in any order: an older confirmation takes nothing away. */
+/* Answers arrive in any order: an older confirmation never replaces a newer
+   one. */
 static void
 test_never_older (void)
 {
@@ -57,8 +58,8 @@
   g_assert_true (fresh_is_expired (&f, LIMIT, 110 * S + 1));
 }
 
-/* A replica that lags, or a VM that is behind, shows an older revision than
-   is here or was heard of: that confirms nothing. */
+/* A replica or VM that lags reports an older revision than the one in force,
+   or than the highest known: that confirms nothing. */
 static void
 test_lagging (void)
 {
@@ -69,10 +70,10 @@
   g_assert_true (fresh_is_expired (&f, LIMIT, 100 * S));
 }
 
-/* A revision that is not here yet confirms when it is, from when it was said;
-   one that was overtaken meanwhile never does. */
+/* A newer revision confirms once it is in force here, from the time of the
+   report; one that was superseded meanwhile never does. */
 static void
-test_ahead (void)
+test_pending_revision (void)
 {
   struct fresh f = { .is_confirmed = false };
 
@@ -88,9 +89,9 @@
   g_assert_true (fresh_is_expired (&f, LIMIT, 121 * S));
 }
 
-/* An age that no VM can mean. */
+/* Ages that are too large are rejected. */
 static void
-test_absurd_age (void)
+test_age_too_large (void)
 {
   int64_t at = 0;
 
@@ -99,10 +100,11 @@
   g_assert_true (fresh_time_from_age (100 * S, 86400000, &at));
 }
 
-const struct unit fresh_units[] = { { "/fresh/unknown", test_unknown },
-                                    { "/fresh/passed-on", test_passed_on },
-                                    { "/fresh/never-older", test_never_older },
-                                    { "/fresh/lagging", test_lagging },
-                                    { "/fresh/ahead", test_ahead },
-                                    { "/fresh/absurd-age", test_absurd_age },
-                                    { NULL, NULL } };
+const struct unit fresh_units[]
+    = { { "/fresh/unknown", test_unknown },
+        { "/fresh/forwarded", test_forwarded },
+        { "/fresh/never-older", test_never_older },
+        { "/fresh/lagging", test_lagging },
+        { "/fresh/pending-revision", test_pending_revision },
+        { "/fresh/age-too-large", test_age_too_large },
+        { NULL, NULL } };
--- a/regress/test-homes.c
+++ b/regress/test-homes.c
@@ -1,4 +1,4 @@
-/* Unit tests of requests that are bound to regions. */
+/* Unit tests of requests that may use only certain regions. */
 #include <glib.h>
 #include <string.h>
 
@@ -12,7 +12,8 @@
   return g_strsplit (text, " ", -1);
 }
 
-/* A VM that knows two domains, in two regions, with an endpoint each. */
+/* Returns a VM that knows two domains, in two regions, with an endpoint
+   each. */
 static struct play *
 two_regions (void)
 {
@@ -36,8 +37,8 @@
   return p->fleet.conf->workspaces->pdata[0];
 }
 
-/* Guards against a request that leaves the region of its route, also when it
-   is tried again. */
+/* Guards against a request that is sent outside its route's regions, also when
+   it is retried. */
 static void
 test_route (void)
 {
@@ -58,7 +59,7 @@
   play_free (p);
 }
 
-/* Guards against a list that counts in place of the other: both bind. */
+/* Guards against one list replacing the other: a region must be in both. */
 static void
 test_both (void)
 {
@@ -77,9 +78,9 @@
   play_free (p);
 }
 
-/* Guards against a domain of which nobody said the region. */
+/* Guards against use of a domain whose region is unknown. */
 static void
-test_unnamed (void)
+test_unknown_region (void)
 {
   struct play *p = two_regions ();
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
@@ -94,7 +95,8 @@
   play_free (p);
 }
 
-/* Guards against kept work that a store in another region gets. */
+/* Guards against KV cache that is saved to a store in a region that is not
+   allowed. */
 static void
 test_stores (void)
 {
@@ -103,7 +105,7 @@
   struct fleet_conf *c = fleet_conf_new ();
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
   struct parts_query q = { .scope = "m.v1", .list = prompt, .n = 2 };
-  g_auto (GStrv) home = regions ("r2");
+  g_auto (GStrv) allowed = regions ("r2");
   struct parts_store *store;
   struct parts_plan plan;
   struct parts parts;
@@ -124,7 +126,7 @@
   q.domain = "west";
   q.fresh_us = 10 * CQ_US_PER_S;
   q.fleet = &p->fleet;
-  q.homes.workspace = (const char *const *)home;
+  q.homes.workspace = (const char *const *)allowed;
   parts_plan (&parts, &q, 10 * CQ_US_PER_S, &plan);
   g_assert_cmpint (plan.nsave, ==, 0);
   q.homes.workspace = NULL;
@@ -134,7 +136,8 @@
   play_free (p);
 }
 
-/* Guards against homes that are passed over where settings are read. */
+/* Guards against allowed regions that are ignored when the configuration is
+   parsed. */
 static void
 test_read (void)
 {
@@ -166,7 +169,10 @@
 }
 
 const struct unit homes_units[] = {
-  { "/homes/route", test_route },     { "/homes/both", test_both },
-  { "/homes/unnamed", test_unnamed }, { "/homes/stores", test_stores },
-  { "/homes/read", test_read },       { NULL, NULL },
+  { "/regions/route", test_route },
+  { "/regions/both", test_both },
+  { "/regions/unknown-region", test_unknown_region },
+  { "/regions/stores", test_stores },
+  { "/regions/read", test_read },
+  { NULL, NULL },
 };
--- a/regress/test-limit.c
+++ b/regress/test-limit.c
@@ -1,4 +1,5 @@
-/* Unit tests of limits that endpoints name: over all VMs, and over time. */
+/* Unit tests of rate limits that endpoints report: over all VMs, and over
+   time. */
 #include <glib.h>
 #include <string.h>
 
@@ -10,77 +11,79 @@
 #define VMS_MAX 320
 #define WINDOW_US (4 * CQ_US_PER_S)
 #define STEP_US (20 * CQ_US_PER_MS)
-#define PLAY_US (100 * CQ_US_PER_S)
+#define SIMULATED_US (100 * CQ_US_PER_S)
 #define ERROR_MS                                                              \
-  400 /* of a VM's reading of the platform's clock, either way */
+  400 /* error of a VM's reading of the platform's clock, either way */
 
 /* Limits of an endpoint: requests in 1000 s. */
 static const int64_t limits[]
     = { 0, 100, 249, 250, 400, 1000, 3000, 3400, 10250, 100000, 2000000 };
 
-/* Guards against parts that add up to more than the limit in a window. */
+/* Guards against shares that add up to more than the limit in a window. */
 static void
-test_parts (void)
+test_shares (void)
 {
-  int64_t gap, milli, sum;
+  int64_t interval_us, milli_rps, sum;
   int vms, rank;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (limits); i++)
     for (vms = 1; vms <= VMS_MAX; vms++)
       {
-        milli = limits[i];
+        milli_rps = limits[i];
         sum = 0;
         for (rank = 0; rank < vms; rank++)
           {
-            gap = limit_interval_us (milli, vms, rank);
-            sum += gap > 0 ? (WINDOW_US - 1) / gap + 1 : 0;
+            interval_us = limit_interval_us (milli_rps, vms, rank);
+            sum += interval_us > 0 ? (WINDOW_US - 1) / interval_us + 1 : 0;
           }
         g_assert_cmpint (sum, >=, 1);
-        g_assert_cmpint (sum, <=, MAX (milli * 4 / 1000, 1));
-        /* And no more than some requests are left unused. */
-        g_assert_cmpint (sum * 10, >=, milli * 4 / 1000 * 9);
+        g_assert_cmpint (sum, <=, MAX (milli_rps * 4 / 1000, 1));
+        /* At most some requests are left unused. */
+        g_assert_cmpint (sum * 10, >=, milli_rps * 4 / 1000 * 9);
       }
 }
 
-/* A VM of a play. */
+/* A simulated VM. */
 struct vm
 {
-  struct limit limit; /* as it knows it */
-  int64_t error_ms;   /* of its clock */
-  int missed;         /* VMs that its list lacks */
-  int sent;           /* requests */
+  struct limit limit; /* the limit, as it knows it */
+  int64_t error_ms;   /* error of its clock */
+  int missed;         /* VMs that are missing from its list */
+  int sent;           /* requests that it sent */
 };
 
-/* Rank of VM in a turn: a permutation that no other turn repeats. */
+/* Returns the rank of VM in a rotation: a permutation that no other rotation
+   repeats. */
 static int
-rank_in (int vm, int vms, uint64_t turn)
+rank_in (int vm, int vms, uint64_t rotation)
 {
-  return (int)(((uint64_t)vm + turn * 7) % (uint64_t)vms);
+  return (int)(((uint64_t)vm + rotation * 7) % (uint64_t)vms);
 }
 
 static void
-judge (struct vm *v, int i, int vms, int64_t now_us)
+set_interval (struct vm *v, int i, int vms, int64_t now_us)
 {
-  /* In the shorter list it may come first. */
+  /* In the shorter list it may have rank 0. */
   int first = v->missed > 0 ? 0 : i;
   int64_t clock = now_us / CQ_US_PER_MS + v->error_ms;
-  int64_t gap = 0;
+  int64_t interval_us = 0;
 
   if (!limit_is_rotated (v->limit.milli_rps, vms))
-    gap = limit_interval_us (v->limit.milli_rps, vms - v->missed, first);
+    interval_us
+        = limit_interval_us (v->limit.milli_rps, vms - v->missed, first);
   else if (!limit_is_rotation_pause (clock))
-    gap = limit_interval_us (
+    interval_us = limit_interval_us (
         v->limit.milli_rps, vms - v->missed,
         v->missed > 0 ? 0 : rank_in (i, vms, limit_rotation (clock)));
-  limit_set_interval (&v->limit, gap, now_us);
+  limit_set_interval (&v->limit, interval_us, now_us);
 }
 
-/* Play VMS that always have a request for an endpoint with a limit of MILLI;
-   ERRING of them lack one in their lists.  Returns the most that the endpoint
-   got in a window. */
+/* Simulates VMS that always have a request for an endpoint with a limit of
+   MILLI_RPS; ERRING of them have a list without one VM.  Returns the most
+   requests that the endpoint got in a window. */
 static int
-play_vms (int vms, int erring, int64_t milli, struct vm *list)
+simulate (int vms, int erring, int64_t milli_rps, struct vm *list)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed ((guint32)vms);
   g_autoptr (GArray) sent = g_array_new (FALSE, FALSE, sizeof (int64_t));
@@ -93,16 +96,16 @@
       list[i] = (struct vm){ .sent = 0 };
       list[i].missed = i >= vms - erring;
       list[i].error_ms = g_rand_int_range (rand, -ERROR_MS, ERROR_MS);
-      limit_report (&list[i].limit, milli, 0,
+      limit_report (&list[i].limit, milli_rps, 0,
                     CQ_US_PER_S + g_rand_int_range (rand, 0, CQ_US_PER_S));
     }
-  for (now = 3 * CQ_US_PER_S; now < PLAY_US; now += STEP_US)
+  for (now = 3 * CQ_US_PER_S; now < SIMULATED_US; now += STEP_US)
     for (i = 0; i < vms; i++)
       {
         struct limit *l = &list[i].limit;
 
         if (limit_is_interval_stale (l, now))
-          judge (&list[i], i, vms, now);
+          set_interval (&list[i], i, vms, now);
         if (!limit_may_place (l, now) || !limit_may_send (l, now))
           continue;
         pace_placed (&l->pace, now);
@@ -116,8 +119,8 @@
   return (int)most;
 }
 
-/* Guards against a window that holds more than the limit, also while VMs take
-   turns by clocks that differ. */
+/* Guards against a window that exceeds the limit, also while VMs rotate by
+   clocks that differ. */
 static void
 test_windows (void)
 {
@@ -127,50 +130,51 @@
 
   for (i = 0; i < G_N_ELEMENTS (vms); i++)
     for (k = 0; k < G_N_ELEMENTS (limits); k++)
-      g_assert_cmpint (play_vms (vms[i], 0, limits[k], list), <=,
+      g_assert_cmpint (simulate (vms[i], 0, limits[k], list), <=,
                        MAX (limits[k] * 4 / 1000, 1));
 }
 
-/* Guards against VMs whose lists differ from the others': the spare that an
-   endpoint leaves holds the parts of some of them. */
+/* Guards against VMs whose lists differ from the others': the margin above the
+   limit that an endpoint tolerates covers the shares of some of them. */
 static void
 test_lists_differ (void)
 {
   static const int vms[] = { 8, 9, 30, 89, 300 };
   g_autofree struct vm *list = g_new0 (struct vm, VMS_MAX);
-  int64_t all, part, spare;
+  int64_t all, share, spare;
   size_t i, k;
 
   for (i = 0; i < G_N_ELEMENTS (vms); i++)
     for (k = 0; k < G_N_ELEMENTS (limits); k++)
       {
         all = limits[k] * 4 / 1000;
-        part = all / (vms[i] - 1) + 1;
+        share = all / (vms[i] - 1) + 1;
         spare = all / 2 + 5;
-        g_assert_cmpint (play_vms (vms[i], (int)MIN (spare / part, vms[i] / 2),
+        g_assert_cmpint (simulate (vms[i],
+                                   (int)MIN (spare / share, vms[i] / 2),
                                    limits[k], list),
                          <=, MAX (all, 1) + spare);
       }
 }
 
-/* Guards against VMs that never ask again, and so never hear that the limit
-   was lifted. */
+/* Guards against VMs that never send again, and so never learn that the limit
+   was cleared. */
 static void
-test_turns (void)
+test_rotation (void)
 {
   g_autofree struct vm *list = g_new0 (struct vm, VMS_MAX);
   int i, n = 0;
 
-  play_vms (30, 0, 3000, list);
+  simulate (30, 0, 3000, list);
   for (i = 0; i < 30; i++)
     n += list[i].sent > 0;
   g_assert_cmpint (n, >, 25);
 }
 
-/* Guards against answers that were sent before the limit was named, and are
-   read after it. */
+/* Guards against answers to requests that were sent before the limit was
+   reported, and arrive after it. */
 static void
-test_overtaken (void)
+test_out_of_order (void)
 {
   struct limit l = { .active = false };
 
@@ -186,30 +190,31 @@
 }
 
 static int64_t
-one_in_ten_s (void *arg, uint64_t key, int64_t milli, int64_t now_us)
+one_in_ten_s (void *arg, uint64_t key, int64_t milli_rps, int64_t now_us)
 {
   (void)arg;
   (void)key;
-  (void)milli;
+  (void)milli_rps;
   (void)now_us;
   return 10 * CQ_US_PER_S;
 }
 
-/* An answer in which the endpoint names MILLI, or no limit if that is -1. */
+/* Plays an answer in which the endpoint reports MILLI_RPS, or no limit if that
+   is -1. */
 static void
-answer_naming (struct play *p, int64_t milli)
+answer_with_limit (struct play *p, int64_t milli_rps)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
   h.lines = play_seal;
-  h.notice.has_limit = milli >= 0;
-  h.notice.limit_milli_rps = milli;
+  h.notice.has_limit = milli_rps >= 0;
+  h.notice.limit_milli_rps = milli_rps;
   play_answer_head (p, &h);
 }
 
-/* Guards against a limit that a VM hears and does not keep to. */
+/* Guards against a limit that a VM receives and does not apply. */
 static void
-test_kept (void)
+test_applied (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   int i, n = 0;
@@ -222,7 +227,7 @@
       play_answer (p, "ok");
       play_start (p);
     }
-  answer_naming (p, 100);
+  answer_with_limit (p, 100);
   for (i = 0; i < 20; i++)
     {
       p->sends = 0;
@@ -235,8 +240,8 @@
   play_free (p);
 }
 
-/* Guards against a request that was placed before its endpoint named a limit.
- */
+/* Guards against a request that was placed before its endpoint reported a
+   limit. */
 static void
 test_before_send (void)
 {
@@ -249,7 +254,8 @@
   play_free (p);
 }
 
-/* Guards against requests that wait though all endpoints have had theirs. */
+/* Guards against requests that wait although this VM's share of all endpoints'
+   limits is used. */
 static void
 test_all_limited (void)
 {
@@ -266,12 +272,12 @@
 }
 
 const struct unit limit_units[] = {
-  { "/limit/parts", test_parts },
+  { "/limit/shares", test_shares },
   { "/limit/windows", test_windows },
   { "/limit/lists-differ", test_lists_differ },
-  { "/limit/turns", test_turns },
-  { "/limit/overtaken", test_overtaken },
-  { "/limit/kept", test_kept },
+  { "/limit/rotation", test_rotation },
+  { "/limit/out-of-order", test_out_of_order },
+  { "/limit/applied", test_applied },
   { "/limit/before-send", test_before_send },
   { "/limit/all-limited", test_all_limited },
   { NULL, NULL },
--- a/regress/test-load.c
+++ b/regress/test-load.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of what VMs tell each other of work at endpoints, and of placing
- * by it.
+ * Unit tests of the load that VMs report to each other, and of placement by
+ * it.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -15,77 +15,77 @@
 #define MS CQ_US_PER_MS
 
 static struct load_gossip
-word (const char *vm, uint64_t life, uint64_t beat)
+message (const char *vm, uint64_t incarnation, uint64_t seq)
 {
-  struct load_gossip w = { .incarnation = life, .seq = beat };
+  struct load_gossip w = { .incarnation = incarnation, .seq = seq };
 
   g_strlcpy (w.vm, vm, sizeof w.vm);
   g_strlcpy (w.domain, "d1", sizeof w.domain);
   return w;
 }
 
-/* Requests that share nothing. */
+/* Adds a request without shared parts. */
 static void
-add_work (struct load_gossip *w, uint64_t endpoint, int64_t unread,
-          int64_t held)
+add_work (struct load_gossip *w, uint64_t endpoint, int64_t pending_tokens,
+          int64_t kv_tokens)
 {
   w->entries[w->nentries++]
       = (struct load_entry){ .endpoint = endpoint,
                              .part = (uint64_t)w->nentries + 1000,
-                             .pending_prefill_tokens = unread,
-                             .kv_tokens = held };
+                             .pending_prefill_tokens = pending_tokens,
+                             .kv_tokens = kv_tokens };
 }
 
 /*
- * Words are whole, so one that is lost costs nothing once the next one comes;
- * one that was overtaken, or is of an earlier life of its VM, must not bring
- * work back that is done.
+ * Messages are complete, so a lost one has no effect once the next one
+ * arrives; one that arrives late, or is of an earlier incarnation of its VM,
+ * must not bring back load that has ended.
  */
 static void
-test_whole_words (void)
+test_complete_messages (void)
 {
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 5, 1);
+  struct load_gossip w = message ("a", 5, 1);
 
   add_work (&w, 1, 1000, 2000);
   add_work (&w, 2, 10, 20);
   g_assert_true (load_update (b, &w, S));
-  w = word ("b", 5, 1);
+  w = message ("b", 5, 1);
   add_work (&w, 1, 500, 600);
   g_assert_true (load_update (b, &w, S));
   g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 1500);
   g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 2600);
-  w = word ("a", 5, 3);
+  w = message ("a", 5, 3);
   add_work (&w, 1, 0, 2000);
   g_assert_true (load_update (b, &w, S));
   g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 500);
   g_assert_cmpint (load_at (b, 2).kv_tokens, ==, 0);
-  w = word ("a", 5, 2);
+  w = message ("a", 5, 2);
   add_work (&w, 1, 9000, 9000);
   g_assert_false (load_update (b, &w, S));
-  w = word ("a", 4, 9);
+  w = message ("a", 4, 9);
   g_assert_false (load_update (b, &w, S));
-  w = word ("a", 6, 1);
+  w = message ("a", 6, 1);
   g_assert_true (load_update (b, &w, S));
   g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 600);
   load_free (b);
 }
 
 /*
- * Requests of two VMs have the same part at one endpoint: it is there once.
- * Counted twice, the endpoint would look full, and the third request would
- * leave for another one and have the part read there.
+ * Requests of two VMs have the same part at one endpoint, which stores it
+ * once.  If it were counted twice, the endpoint would look full, and the third
+ * request would go to another one and have the part prefilled there.
  */
 static void
 test_part_once (void)
 {
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 5, 1);
+  struct load_gossip w = message ("a", 5, 1);
 
   w.entries[0] = (struct load_entry){ 1, 7, 100, 200, 9000, 9000 };
   w.nentries = 1;
   load_update (b, &w, S);
-  w = word ("b", 5, 1);
+  w = message ("b", 5, 1);
   w.entries[0] = (struct load_entry){ 1, 7, 10, 20, 0, 9000 };
   w.nentries = 1;
   load_update (b, &w, S);
@@ -93,11 +93,11 @@
   g_assert_cmpint (load_at (b, 1).pending_prefill_tokens, ==, 9110);
   g_assert_true (load_has_part (b, 1, 7));
   g_assert_false (load_has_part (b, 2, 7));
-  w = word ("a", 5, 2);
+  w = message ("a", 5, 2);
   load_update (b, &w, S);
   g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 9020);
   g_assert_true (load_has_part (b, 1, 7));
-  w = word ("b", 5, 2);
+  w = message ("b", 5, 2);
   load_update (b, &w, S);
   g_assert_cmpint (load_at (b, 1).kv_tokens, ==, 0);
   g_assert_false (load_has_part (b, 1, 7));
@@ -105,15 +105,15 @@
 }
 
 /*
- * A VM that is suspended, cut off or gone says nothing more.  Its work counts
- * for a while, and then not: kept for ever, endpoints that idle would look
- * busy.  It counts again as soon as it speaks.
+ * A VM that is suspended, partitioned or has ended sends nothing more.  Its
+ * load counts for a while, and then no longer: otherwise idle endpoints would
+ * look busy.  It counts again as soon as the VM sends.
  */
 static void
 test_silence (void)
 {
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 5, 1);
+  struct load_gossip w = message ("a", 5, 1);
 
   add_work (&w, 1, 1000, 2000);
   load_update (b, &w, S);
@@ -131,9 +131,9 @@
 }
 
 /*
- * Somebody sends words under ever new names.  Each takes memory; past a limit
- * none is taken, those that are known are still heard, and names that are
- * silent for a minute make room.
+ * A sender uses a new name for each message, and each name takes memory.  Past
+ * a limit no new names are accepted, known VMs are still updated, and names
+ * without a message for a minute are removed.
  */
 static void
 test_many_names (void)
@@ -146,26 +146,26 @@
   for (i = 0; i < 5000; i++)
     {
       g_snprintf (name, sizeof name, "n%d", i);
-      w = word (name, 1, 1);
+      w = message (name, 1, 1);
       taken += load_update (b, &w, S);
     }
   g_assert_cmpint (taken, ==, 2048);
-  w = word ("n0", 1, 2);
+  w = message ("n0", 1, 2);
   g_assert_true (load_update (b, &w, 30 * S));
   load_expire (b, 62 * S);
-  w = word ("another", 1, 1);
+  w = message ("another", 1, 1);
   g_assert_true (load_update (b, &w, 62 * S));
-  w = word ("n0", 1, 2);
+  w = message ("n0", 1, 2);
   g_assert_false (load_update (b, &w, 62 * S));
   load_free (b);
 }
 
-/* Where 24 of 96 VMs are heard, what they say stands for all. */
+/* Where 24 of 96 VMs send to this one, their load is extrapolated to all. */
 static void
-test_part_for_all (void)
+test_extrapolated (void)
 {
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 5, 1);
+  struct load_gossip w = message ("a", 5, 1);
 
   add_work (&w, 1, 1000, 2000);
   load_update (b, &w, S);
@@ -176,11 +176,12 @@
   load_free (b);
 }
 
-/* A word as it is sent is read as it was; nothing else is read as one. */
+/* An encoded message decodes to the same message; truncated ones are
+   rejected. */
 static void
 test_bytes (void)
 {
-  struct load_gossip w = word ("vm-1", UINT64_MAX, 7);
+  struct load_gossip w = message ("vm-1", UINT64_MAX, 7);
   struct load_gossip got;
   g_autoptr (GByteArray) bytes = NULL;
   guint i;
@@ -201,7 +202,7 @@
   g_assert_false (tell_decode ("", 0, &got));
 }
 
-/* --- placing --------------------------------------------------------- */
+/* --- placement ------------------------------------------------------- */
 
 #define ENDPOINTS 12
 #define MEMORY 76000
@@ -216,7 +217,7 @@
 }
 
 static void
-twelve (struct fleet *f)
+add_twelve_endpoints (struct fleet *f)
 {
   struct fleet_conf *c = fleet_conf_new ();
   struct fleet_service *sv = g_new0 (struct fleet_service, 1);
@@ -252,72 +253,73 @@
 }
 
 /*
- * Another VM has sent long prompts to the endpoint where short ones of this
- * one are at home.  Sent there, each would wait until 34,000 tokens are read;
- * they go elsewhere, and come back when that is done.
+ * Another VM has sent long prompts to the endpoint that this VM's short ones
+ * prefer.  Sent there, each would wait until 34,000 tokens are prefilled; they
+ * go elsewhere, and return when that is done.
  */
 static void
 test_short_beside_long (void)
 {
   struct fleet f;
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 1, 1);
+  struct load_gossip w = message ("a", 1, 1);
   struct pick_query q = query ("subject", 300, 80);
-  struct fleet_endpoint *home;
+  struct fleet_endpoint *preferred;
 
-  twelve (&f);
+  add_twelve_endpoints (&f);
   q.loads = b;
-  home = pick_endpoint (&f, &q, S).endpoint;
-  add_work (&w, home->key, 34000, 34000);
+  preferred = pick_endpoint (&f, &q, S).endpoint;
+  add_work (&w, preferred->key, 34000, 34000);
   load_update (b, &w, S);
-  g_assert_true (pick_endpoint (&f, &q, S).endpoint != home);
-  w = word ("a", 1, 2);
-  add_work (&w, home->key, 0, 34000);
+  g_assert_true (pick_endpoint (&f, &q, S).endpoint != preferred);
+  w = message ("a", 1, 2);
+  add_work (&w, preferred->key, 0, 34000);
   load_update (b, &w, S);
-  g_assert_true (pick_endpoint (&f, &q, S).endpoint == home);
+  g_assert_true (pick_endpoint (&f, &q, S).endpoint == preferred);
   load_free (b);
   fleet_clear (&f);
 }
 
 /*
- * The endpoint's memory is taken by prompts that others sent.  One more would
- * push one of them out in the middle of its answer, to be read again whole.
+ * Prompts of other VMs use up the endpoint's KV cache.  One more would evict
+ * one of them in the middle of its answer, and its whole prompt would be
+ * prefilled again.
  */
 static void
 test_memory (void)
 {
   struct fleet f;
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 1, 1);
+  struct load_gossip w = message ("a", 1, 1);
   struct pick_query q = query ("history", 13000, 4000);
-  struct fleet_endpoint *home;
+  struct fleet_endpoint *preferred;
 
-  twelve (&f);
+  add_twelve_endpoints (&f);
   q.loads = b;
-  home = pick_endpoint (&f, &q, S).endpoint;
-  add_work (&w, home->key, 0, MEMORY - 20000);
+  preferred = pick_endpoint (&f, &q, S).endpoint;
+  add_work (&w, preferred->key, 0, MEMORY - 20000);
   load_update (b, &w, S);
-  g_assert_true (pick_endpoint (&f, &q, S).endpoint != home);
+  g_assert_true (pick_endpoint (&f, &q, S).endpoint != preferred);
   load_free (b);
   fleet_clear (&f);
 }
 
 /*
- * Of endpoints in other failure domains a VM knows next to nothing where there
- * are many VMs: what looks idle there may not be.  Its own domain goes first,
- * until that is busy.
+ * Where there are many VMs, a VM knows almost nothing of the load in other
+ * failure domains: what looks idle there may not be.  Endpoints in its own
+ * domain are preferred until they are busy.
  */
 static void
 test_own_domain (void)
 {
   struct fleet f;
   struct load_table *b = load_new ();
-  struct load_gossip w = word ("a", 1, 1);
+  struct load_gossip w = message ("a", 1, 1);
   struct pick_query q;
   char part[8];
   int i;
 
-  twelve (&f);
+  add_twelve_endpoints (&f);
   load_scale (b, 30, 24, true);
   for (i = 0; i < 100; i++)
     {
@@ -336,46 +338,46 @@
   fleet_clear (&f);
 }
 
-/* --- what callers get under load ------------------------------------- */
+/* --- latency under load ---------------------------------------------- */
 
 #define VMS 9
-#define READ_MS(tokens) ((tokens) / 90)
-#define PLAYED_MS 20000
+#define PREFILL_MS(tokens) ((tokens) / 90)
+#define SIMULATED_MS 20000
 #define SHORT_LATE_MS 300
 
-/* A played day: VMs that each know their own requests, and endpoints that read
-   prompts one after another. */
-struct day
+/* A simulation: VMs that each know their own requests, and endpoints that
+   prefill prompts one after another. */
+struct simulation
 {
-  struct fleet fleets[VMS];        /* beliefs, by VM */
-  struct load_table *books[VMS];   /* what it heard */
-  uint64_t beats[VMS];             /* words told */
-  int64_t free_ms[ENDPOINTS];      /* an endpoint has read all by then */
-  int64_t done_ms[VMS][ENDPOINTS]; /* its own long prompt is read */
-  int64_t unread[VMS][ENDPOINTS];  /* of that */
-  int shorts;                      /* sent */
-  int late;                        /* of these, whose answer is */
+  struct fleet fleets[VMS];        /* fleet, by VM */
+  struct load_table *tables[VMS];  /* load reported to each VM */
+  uint64_t seqs[VMS];              /* messages sent, by VM */
+  int64_t free_ms[ENDPOINTS];      /* when an endpoint has prefilled all */
+  int64_t done_ms[VMS][ENDPOINTS]; /* when a VM's long prompt is prefilled */
+  int64_t pending_tokens[VMS][ENDPOINTS]; /* tokens of that prompt */
+  int shorts;                             /* short prompts sent */
+  int late;                               /* of these, answered late */
 };
 
 static void
-tell_all (struct day *d, int vm, int64_t now_ms)
+send_load (struct simulation *d, int vm, int64_t now_ms)
 {
-  struct load_gossip w = word ("vm", 1, ++d->beats[vm]);
+  struct load_gossip w = message ("vm", 1, ++d->seqs[vm]);
   int i;
 
   g_snprintf (w.vm, sizeof w.vm, "vm%d", vm);
   for (i = 0; i < ENDPOINTS; i++)
     if (d->done_ms[vm][i] > now_ms)
-      add_work (&w, endpoint (&d->fleets[vm], i)->key, d->unread[vm][i],
-                d->unread[vm][i]);
+      add_work (&w, endpoint (&d->fleets[vm], i)->key,
+                d->pending_tokens[vm][i], d->pending_tokens[vm][i]);
   for (i = 0; i < VMS; i++)
     if (i != vm)
-      load_update (d->books[i], &w, now_ms * MS);
+      load_update (d->tables[i], &w, now_ms * MS);
 }
 
 static void
-play_request (struct day *d, int vm, bool is_long, bool told, const char *part,
-              int64_t now_ms)
+play_request (struct simulation *d, int vm, bool is_long, bool has_reports,
+              const char *part, int64_t now_ms)
 {
   struct pick_query q
       = query (part, is_long ? 13000 : 300, is_long ? 4000 : 80);
@@ -383,26 +385,26 @@
   struct fleet_endpoint *e;
   int at;
 
-  q.loads = told ? d->books[vm] : NULL;
+  q.loads = has_reports ? d->tables[vm] : NULL;
   e = pick_endpoint (&d->fleets[vm], &q, now_ms * MS).endpoint;
   at = atoi (e->listing.id + 1);
-  d->free_ms[at] = MAX (d->free_ms[at], now_ms) + READ_MS (tokens);
+  d->free_ms[at] = MAX (d->free_ms[at], now_ms) + PREFILL_MS (tokens);
   if (is_long)
     {
       d->done_ms[vm][at] = d->free_ms[at];
-      d->unread[vm][at] = tokens;
-      tell_all (d, vm, now_ms);
+      d->pending_tokens[vm][at] = tokens;
+      send_load (d, vm, now_ms);
       return;
     }
   d->shorts++;
   d->late += d->free_ms[at] - now_ms > SHORT_LATE_MS;
 }
 
-/* Share of short prompts that are late, in percent. */
+/* Returns the percentage of short prompts that are answered late. */
 static int
-play_day (bool told)
+simulate (bool has_reports)
 {
-  static struct day d;
+  static struct simulation d;
   GRand *r = g_rand_new_with_seed (11);
   char part[16];
   int64_t now;
@@ -411,33 +413,33 @@
   memset (&d, 0, sizeof d);
   for (i = 0; i < VMS; i++)
     {
-      twelve (&d.fleets[i]);
-      d.books[i] = load_new ();
+      add_twelve_endpoints (&d.fleets[i]);
+      d.tables[i] = load_new ();
     }
-  for (now = 0; now < PLAYED_MS; now++)
+  for (now = 0; now < SIMULATED_MS; now++)
     {
       if (now % 50 == 0)
         for (i = 0; i < VMS; i++)
-          tell_all (&d, i, now);
+          send_load (&d, i, now);
       /* 30 long and 290 short ones a second. */
       if (g_rand_double (r) < 0.03)
         {
           g_snprintf (part, sizeof part, "l%d", g_rand_int_range (r, 0, 183));
-          play_request (&d, g_rand_int_range (r, 0, VMS), true, told, part,
-                        now);
+          play_request (&d, g_rand_int_range (r, 0, VMS), true, has_reports,
+                        part, now);
         }
       if (g_rand_double (r) < 0.29)
         {
           g_snprintf (part, sizeof part, "s%d", g_rand_int_range (r, 0, 2311));
-          play_request (&d, g_rand_int_range (r, 0, VMS), false, told, part,
-                        now);
+          play_request (&d, g_rand_int_range (r, 0, VMS), false, has_reports,
+                        part, now);
         }
     }
   result = 100 * d.late / d.shorts;
   for (i = 0; i < VMS; i++)
     {
       fleet_clear (&d.fleets[i]);
-      load_free (d.books[i]);
+      load_free (d.tables[i]);
     }
   g_rand_free (r);
   return result;
@@ -445,14 +447,14 @@
 
 /*
  * Nine VMs send 30 prompts of 17,000 tokens and 290 short ones a second to
- * twelve endpoints.  Each short one that comes behind two long ones is late.
- * Told of each other's long ones, VMs keep short ones away from them.
+ * twelve endpoints.  Each short one that is queued behind two long ones is
+ * late.  With reports of each other's load, VMs place short ones elsewhere.
  */
 static void
 test_short_in_time (void)
 {
-  int before = play_day (false);
-  int after = play_day (true);
+  int before = simulate (false);
+  int after = simulate (true);
 
   g_test_message ("late short prompts: %d%% before, %d%% after", before,
                   after);
@@ -461,11 +463,11 @@
 }
 
 const struct unit load_units[] = {
-  { "/load/whole-words", test_whole_words },
+  { "/load/complete-messages", test_complete_messages },
   { "/load/part-once", test_part_once },
   { "/load/silence", test_silence },
   { "/load/many-names", test_many_names },
-  { "/load/part-for-all", test_part_for_all },
+  { "/load/extrapolated", test_extrapolated },
   { "/load/bytes", test_bytes },
   { "/load/short-beside-long", test_short_beside_long },
   { "/load/memory", test_memory },
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -1,11 +1,11 @@
-/* Unit tests of what endpoints say of themselves in their answers. */
+/* Unit tests of what endpoints report about themselves in their answers. */
 #include <glib.h>
 #include <string.h>
 
 #include "relayplay.h"
 #include "units.h"
 
-/* Start a request that is placed at A. */
+/* Starts a request that is placed at A. */
 static void
 start_at_a (struct play *p)
 {
@@ -20,7 +20,7 @@
 }
 
 static void
-say (struct play *p, const struct notice *n)
+answer_with_notice (struct play *p, const struct notice *n)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
@@ -29,7 +29,7 @@
   play_answer_head (p, &h);
 }
 
-/* Requests of twenty that go to A. */
+/* Returns how many of twenty requests go to A. */
 static int
 count_at_a (struct play *p)
 {
@@ -45,29 +45,30 @@
   return n;
 }
 
-/* Guards against an endpoint that says it leaves and is listed as ready. */
+/* Guards against requests to an endpoint that reports that it drains but is
+   listed as ready. */
 static void
-test_leaving (void)
+test_draining (void)
 {
   static const struct notice leaving = { .leaving = true };
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct fleet_listing ready;
 
   start_at_a (p);
-  say (p, &leaving);
+  answer_with_notice (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
   ready = play_endpoint (p, "a")->listing;
   fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  /* The next life has said nothing. */
+  /* The next incarnation has reported nothing. */
   ready.started_ms = 1700000000000;
   fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), >, 0);
   play_free (p);
 }
 
-/* Guards against beliefs that go with an endpoint's entry: it lapsed, or the
-   list is an older copy. */
+/* Guards against notices that are lost with an endpoint's entry: it lapsed, or
+   the list is an older copy. */
 static void
 test_entry_returns (void)
 {
@@ -79,8 +80,8 @@
   fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
   g_assert_null (play_endpoint (p, "a"));
   fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
-  /* Its answer comes when the entry is back. */
-  say (p, &leaving);
+  /* Its answer arrives after the entry has returned. */
+  answer_with_notice (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
   fleet_apply_missing (&p->fleet, play_endpoint (p, "a"), loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
@@ -89,7 +90,8 @@
   play_free (p);
 }
 
-/* Guards against memory that grows with all endpoints that ever left. */
+/* Guards against memory that grows with every endpoint that was ever
+   removed. */
 static void
 test_former_bounded (void)
 {
@@ -109,10 +111,10 @@
   fleet_clear (&f);
 }
 
-/* Guards against a request that was placed before its endpoint said that it
-   leaves. */
+/* Guards against a request that was placed before its endpoint reported that
+   it drains. */
 static void
-test_leaving_before_send (void)
+test_draining_before_send (void)
 {
   static const struct notice leaving = { .leaving = true };
   static const struct notice_origin from
@@ -125,21 +127,22 @@
   play_free (p);
 }
 
-/* A refusal that asks for REST_US comes. */
+/* Plays a refusal that requests a backoff of BACKOFF_US. */
 static void
-refuse (struct play *p, int64_t rest_us)
+refuse (struct play *p, int64_t backoff_us)
 {
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
 
   h.lines = play_seal;
-  h.notice.backoff_us = rest_us;
+  h.notice.backoff_us = backoff_us;
   play_answer_head (p, &h);
 }
 
-/* Guards against requests to an endpoint that asked for rest, also once its
-   entry is back, and against one that is never asked again. */
+/* Guards against requests to an endpoint that requested a backoff, also after
+   its entry has returned, and against one that gets no request after the
+   backoff. */
 static void
-test_rest (void)
+test_backoff (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct fleet_listing ready = play_endpoint (p, "a")->listing;
@@ -157,10 +160,10 @@
   play_free (p);
 }
 
-/* Guards against notices that are put down to the start before: the endpoint
-   has started again, says them, and its entry says so later. */
+/* Guards against notices that are recorded for the previous incarnation: the
+   endpoint has restarted and sends them before its entry shows the restart. */
 static void
-test_start_heard_late (void)
+test_restart_listed_late (void)
 {
   struct play *p = play_new (FLEET_IDEMPOTENT);
   struct fleet_listing l = play_endpoint (p, "a")->listing;
@@ -184,9 +187,10 @@
   play_free (p);
 }
 
-/* Guards against a shorter rest that is heard later and ends a longer one. */
+/* Guards against a shorter backoff that arrives later and ends a longer
+   one. */
 static void
-test_rest_longest (void)
+test_longest_backoff (void)
 {
   static const struct notice_origin from = { .source = "answer" };
   struct notice n = { .backoff_us = 5 * CQ_US_PER_S };
@@ -201,10 +205,10 @@
   play_free (p);
 }
 
-/* Guards against a request that was placed before its endpoint asked for rest,
-   and against callers who wait for endpoints that all rest. */
+/* Guards against a request that was placed before its endpoint requested a
+   backoff, and against callers who wait while all endpoints are in backoff. */
 static void
-test_all_rest (void)
+test_all_in_backoff (void)
 {
   struct play *p = play_new (FLEET_AT_MOST_ONCE);
 
@@ -222,9 +226,10 @@
   play_free (p);
 }
 
-/* Guards against the answer of whoever has the address of an endpoint now. */
+/* Guards against notices of another process that now has the address of an
+   endpoint. */
 static void
-test_other_life (void)
+test_other_incarnation (void)
 {
   struct play *p = play_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
@@ -241,14 +246,14 @@
 }
 
 const struct unit notice_units[] = {
-  { "/notice/leaving", test_leaving },
+  { "/notice/draining", test_draining },
   { "/notice/entry-returns", test_entry_returns },
   { "/notice/former-bounded", test_former_bounded },
-  { "/notice/leaving-before-send", test_leaving_before_send },
-  { "/notice/rest", test_rest },
-  { "/notice/start-heard-late", test_start_heard_late },
-  { "/notice/rest-longest", test_rest_longest },
-  { "/notice/all-rest", test_all_rest },
-  { "/notice/other-life", test_other_life },
+  { "/notice/draining-before-send", test_draining_before_send },
+  { "/notice/backoff", test_backoff },
+  { "/notice/restart-listed-late", test_restart_listed_late },
+  { "/notice/longest-backoff", test_longest_backoff },
+  { "/notice/all-in-backoff", test_all_in_backoff },
+  { "/notice/other-incarnation", test_other_incarnation },
   { NULL, NULL },
 };
