--- a/Makefile
+++ b/Makefile
@@ -71,7 +71,7 @@
 	regress/test-parts.o regress/test-xfer.o regress/test-share.o \
 	regress/test-headers.o regress/test-fresh.o regress/test-steps.o \
 	regress/test-lives.o regress/test-load.o regress/test-admit.o \
-	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-homes.o regress/test-evac.o regress/test-relayquar.o regress/relayplay.o
+	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-regions.o regress/test-evac.o regress/test-relayquar.o regress/relayplay.o
 
 regress/test-units: $(UNITS) libplatform.a librelay.a libserver.a libwire.a libdecide.a
 	$(CC) $(CFLAGS) -o $@ $(UNITS) libplatform.a librelay.a log.o met.o loop.o xfer.o fetch.o peer_xdr.o \
--- a/regress/test-homes.c
+++ b/regress/test-regions.c
@@ -168,7 +168,7 @@
   fleet_conf_unref (c);
 }
 
-const struct unit homes_units[] = {
+const struct unit regions_units[] = {
   { "/regions/route", test_route },
   { "/regions/both", test_both },
   { "/regions/unknown-region", test_unknown_region },
--- a/regress/test-units.c
+++ b/regress/test-units.c
@@ -803,7 +803,7 @@
     = { wire_units,     fleet_units, relay_units,  orders_units, follow_units,
         parts_units,    xfer_units,  share_units,  header_units, fresh_units,
         steps_units,    lives_units, load_units,   admit_units,  quar_units,
-        cold_units,     limit_units, notice_units, homes_units,  evac_units,
+        cold_units,     limit_units, notice_units, regions_units,  evac_units,
         relayquar_units };
 
 int
--- a/regress/units.h
+++ b/regress/units.h
@@ -27,7 +27,7 @@
 extern const struct unit cold_units[];
 extern const struct unit limit_units[];
 extern const struct unit notice_units[];
-extern const struct unit homes_units[];
+extern const struct unit regions_units[];
 extern const struct unit evac_units[];
 extern const struct unit quar_units[];
 extern const struct unit relayquar_units[];
