--- a/regress/cold.sh
+++ b/regress/cold.sh
@@ -1,16 +1,16 @@
-# Guards against more requests than a cold endpoint bears, from VMs that do not
-# ask each other before they send.
+# Guards against more requests than a cold endpoint can take, from VMs that do
+# not coordinate before they send.
 . ./lib.sh || exit 1
 . ./site.sh
 
 cold_conf() { site_conf "$1" '"k1"' | sed 's/"Name":"app",/&"ColdStartS":20,"ColdPerS":4.0,/'; }
-# app NAME COLD_MS: an endpoint of the service app that stays cold for so long.
+# app NAME COLD_MS: lists an endpoint of the service app that is cold for COLD_MS.
 app() {
 	eval "_port=\$port_$1"
 	row servers "i-$1" "{\"Service\":\"app\",\"Address\":\"127.0.0.1:$_port\",\"Zone\":\"d1\",\"Slots\":8,\"State\":\"ready\",\"ColdRemainingMs\":$2}"
 }
 ran() { grep -c 'event=ran' "$tmp/$1.err"; }
-# burst VM: sixty requests, one after the other.
+# burst VM: sends sixty requests, one after the other.
 burst() { for _i in $(seq 60); do out=$tmp/out.$1 ask "$1" /safe/x >/dev/null; done; }
 
 start_fake rows rows
@@ -34,11 +34,11 @@
 burst b & two=$!
 wait $one $two
 took_ms=$((($(date +%s%N) - begun) / 1000000))
-# Four a second, and as many again as a burst at the end and the beginning.
+# Four a second, and as many again for bursts at the beginning and the end.
 [ "$(ran q)" -le $((4 * (took_ms + 1000) / 1000)) ] && echo "within the rate" || echo "$(ran q) in $took_ms ms"
-[ "$(ran q)" -gt 0 ] && echo "it is used"
+[ "$(ran q)" -gt 0 ] && echo "it gets requests"
 
-echo "== nowhere else to go"
+echo "== only the cold endpoint is left"
 drop_row servers i-p
 wait_for has_line "$tmp/a.log" 'endpoint=i-p outcome=removed'
 burst a
