--- a/announce.c
+++ b/announce.c
@@ -24,8 +24,9 @@
 is_uncertain (const struct fleet *f, const struct fleet_endpoint *e,
               int64_t read_us)
 {
-  int64_t since = fleet_outdated_since (f, e);
-  int64_t heard = fleet_heard_from (f, e->is.model, e->version + 1);
+  int64_t since = fleet_earliest_outdated_us (f, e);
+  int64_t heard
+      = fleet_version_learned_us (f, e->listing.model, e->version + 1);
 
   return since == FLEET_NEVER
          || (heard - since > UNCERTAIN_AFTER_US
@@ -55,8 +56,8 @@
 
   for (n = row->announcements; n < row->announcements + row->nannouncements;
        n++)
-    fleet_named_since (f, n->model, n->version,
-                       lease_to_local_us (clock, n->since_ms));
+    fleet_add_naming_bound (f, n->model, n->version,
+                            lease_to_local_us (clock, n->since_ms));
 }
 
 /* An announcement that this VM has seen was not made later than that, whatever
@@ -71,7 +72,7 @@
   for (n = row->announcements; n < row->announcements + row->nannouncements;
        n++)
     {
-      heard = fleet_heard_from (f, n->model, n->version);
+      heard = fleet_version_learned_us (f, n->model, n->version);
       if (heard != FLEET_NEVER)
         n->since_ms = MIN (n->since_ms, lease_earliest_ms (clock, heard));
     }
@@ -90,10 +91,11 @@
   correct_row (f, clock, row);
   APR_RING_FOREACH (e, &f->endpoints, fleet_endpoint, link)
   {
-    since = is_outdated (f, e) ? fleet_outdated_since (f, e) : FLEET_NEVER;
+    since
+        = is_outdated (f, e) ? fleet_earliest_outdated_us (f, e) : FLEET_NEVER;
     if (since == FLEET_NEVER)
       continue;
-    g_strlcpy (n.model, e->is.model, sizeof n.model);
+    g_strlcpy (n.model, e->listing.model, sizeof n.model);
     n.version = e->version + 1;
     n.since_ms = lease_earliest_ms (clock, since);
     lease_add_announcement (row, &n);
--- a/follow.c
+++ b/follow.c
@@ -133,7 +133,7 @@
   int64_t old = f->conf != NULL ? f->conf->version : 0;
   int64_t new = it->conf->version;
   guint routes = it->conf->routes->len;
-  bool taken = fleet_take_conf (f, it->conf, it->row);
+  bool taken = fleet_apply_conf (f, it->conf, it->row);
 
   log_event (LOG_LEVEL_INFO, "conf",
              "outcome=%s conf=%" G_GINT64_FORMAT " before=%" G_GINT64_FORMAT
@@ -181,7 +181,7 @@
   struct fleet *f = fl->opts.fleet;
   int64_t early = not_before (fl, it->row);
 
-  if (fleet_take_wanted (f, it->model, it->version, early, now_us))
+  if (fleet_apply_wanted (f, it->model, it->version, early, now_us))
     log_event (LOG_LEVEL_INFO, "weights_named",
                "model=%s version=%" G_GINT64_FORMAT " row=%" G_GINT64_FORMAT
                " known_without_us=%" G_GINT64_FORMAT,
@@ -193,34 +193,38 @@
    current one, until the current one writes again. */
 static void
 log_stale_listing (const struct fleet_endpoint *e,
-                   const struct follow_item *it, enum fleet_life life)
+                   const struct follow_item *it, enum fleet_incarnation life)
 {
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=passed_over reason=life_%s source=list "
              "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT
              " row=%" G_GINT64_FORMAT,
-             e->is.id, fleet_life_name (life), (gint64)it->listing.born_ms,
-             (gint64)e->is.born_ms, (gint64)it->row);
+             e->listing.id, fleet_incarnation_name (life),
+             (gint64)it->listing.started_ms, (gint64)e->listing.started_ms,
+             (gint64)it->row);
 }
 
 static void
 apply_endpoint (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *old = g_hash_table_lookup (f->by_id, it->listing.id);
-  enum fleet_life life = fleet_life_of (old, it->listing.born_ms);
-  bool restarted = old != NULL && life == FLEET_LIFE_YOUNGER;
+  enum fleet_incarnation life
+      = fleet_incarnation_compare (old, it->listing.started_ms);
+  bool restarted = old != NULL && life == FLEET_INCARNATION_NEWER;
   bool draining = old != NULL && old->draining;
   bool cold = old != NULL && !restarted && cold_is (&old->cold, now_us);
   int64_t version = old != NULL ? old->version : 0;
-  int64_t before = old != NULL ? old->is.born_ms : 0;
+  int64_t before = old != NULL ? old->listing.started_ms : 0;
   struct fleet_endpoint *e;
 
-  if (old != NULL && (life == FLEET_LIFE_OLDER || life == FLEET_LIFE_UNSAID))
+  if (old != NULL
+      && (life == FLEET_INCARNATION_OLDER
+          || life == FLEET_INCARNATION_UNKNOWN))
     {
       log_stale_listing (old, it, life);
       return;
     }
-  e = fleet_take_listing (f, &it->listing, now_us);
+  e = fleet_apply_listing (f, &it->listing, now_us);
   if (old == NULL || restarted || draining != e->draining
       || version != e->version)
     log_event (LOG_LEVEL_INFO, "endpoint",
@@ -228,15 +232,16 @@
                "version=%" G_GINT64_FORMAT " born_ms=%" G_GINT64_FORMAT
                " before_ms=%" G_GINT64_FORMAT
                " source=list row=%" G_GINT64_FORMAT,
-               e->is.id, restarted ? "started_again_" : "",
-               e->draining ? "draining" : "ready", e->is.service,
-               e->is.address, e->is.domain, (gint64)e->version,
-               (gint64)e->is.born_ms, (gint64)before, (gint64)it->row);
+               e->listing.id, restarted ? "started_again_" : "",
+               e->draining ? "draining" : "ready", e->listing.service,
+               e->listing.address, e->listing.domain, (gint64)e->version,
+               (gint64)e->listing.started_ms, (gint64)before, (gint64)it->row);
   if (!cold && cold_is (&e->cold, now_us))
     log_event (LOG_LEVEL_INFO, "endpoint_cold",
                "endpoint=%s domain=%s left_us=%" G_GINT64_FORMAT
                " row=%" G_GINT64_FORMAT,
-               e->is.id, e->is.domain, (gint64)e->is.cold_us, (gint64)it->row);
+               e->listing.id, e->listing.domain, (gint64)e->listing.cold_us,
+               (gint64)it->row);
 }
 
 /* An entry that expired while the list could not be read is at first only
@@ -245,13 +250,13 @@
 apply_removed (struct fleet *f, struct fleet_endpoint *e, const char *reason,
                int64_t now_us)
 {
-  bool counts = fleet_missing_counts (f, now_us);
+  bool counts = fleet_is_list_settled (f, now_us);
 
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s reason=%s service=%s running=%d",
-             e->is.id, counts ? "removed" : "doubted", reason, e->is.service,
-             e->running);
-  fleet_take_missing (f, e, now_us);
+             e->listing.id, counts ? "removed" : "doubted", reason,
+             e->listing.service, e->running);
+  fleet_apply_missing (f, e, now_us);
 }
 
 /*
@@ -265,7 +270,7 @@
 {
   struct fleet_endpoint *e = g_hash_table_lookup (f->by_id, it->listing.id);
 
-  if (e != NULL && e->missing_us == 0)
+  if (e != NULL && e->missing_since_us == 0)
     apply_removed (f, e, "spoiled", now_us);
 }
 
@@ -365,7 +370,7 @@
        e != APR_RING_SENTINEL (&f->endpoints, fleet_endpoint, link); e = next)
     {
       next = APR_RING_NEXT (e, link);
-      if (!is_in_reply (n, e->is.id) && e->missing_us == 0)
+      if (!is_in_reply (n, e->listing.id) && e->missing_since_us == 0)
         apply_removed (f, e, "not_listed", now_us);
     }
 }
@@ -446,8 +451,8 @@
     end_unlisted_evacuations (f, n, now_us);
   if (s->source == FOLLOW_OPERATOR)
     {
-      f->fresh_us = at;
-      fleet_wanted_current (f, at);
+      f->conf_current_us = at;
+      fleet_confirm_wanted (f, at);
     }
   add_version_time (s->follow, n->version, at);
   if (n->version > s->version || s->era != s->follow->era)
@@ -481,7 +486,7 @@
       met_add (MET_OLDER_COPIES, 1);
       f->nversion_times = 0;
       f->opts.fleet->conf_row = 0;
-      fleet_list_back (f->opts.fleet, now_us);
+      fleet_list_recovered (f->opts.fleet, now_us);
       for (i = 0; i < FOLLOW_SOURCES; i++)
         f->streams[i].synced = false;
     }
@@ -521,7 +526,7 @@
              "source=%s outcome=regained lost_us=%" G_GINT64_FORMAT,
              source_names[s->source], (gint64)(now_us - s->failing_us));
   if (s->source == FOLLOW_ENDPOINTS && now_us - s->failing_us > OUTAGE_US)
-    fleet_list_back (s->follow->opts.fleet, now_us);
+    fleet_list_recovered (s->follow->opts.fleet, now_us);
   s->failing_us = 0;
   s->pause_us = PAUSE_FIRST_US;
 }
@@ -634,7 +639,8 @@
 
   if (s->source == FOLLOW_ENDPOINTS)
     return ENDPOINTS_WAIT_US;
-  return follow_poll_wait_us (o->max_age_us, fleet_age_us (o->fleet, now_us));
+  return follow_poll_wait_us (o->max_age_us,
+                              fleet_conf_age_us (o->fleet, now_us));
 }
 
 static void
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -240,8 +240,8 @@
   guint i, sent = 0;
 
   t->opts.collect_load (t->opts.ctx, &t->message);
-  t->message.beat++;
-  load_take (t->opts.load_table, &t->message, now_us);
+  t->message.seq++;
+  load_update (t->opts.load_table, &t->message, now_us);
   bytes = loadgossip_encode (&t->message);
   for (i = 0; i < t->peers->len && sent < RECIPIENTS_MAX; i++)
     {
@@ -249,7 +249,7 @@
 
       l = t->peers->pdata[i];
       if (is_silent (l, now_us)
-          && (t->message.beat + i) % SILENT_SEND_EVERY != 0)
+          && (t->message.seq + i) % SILENT_SEND_EVERY != 0)
         continue;
       /* A full socket buffer loses the message, as the network may. */
       apr_socket_sendto (t->sock, l->to, 0, (const char *)bytes->data, &len);
@@ -281,7 +281,7 @@
   load_expire (t->opts.load_table, now_us);
   send_load (t, now_us);
   loop_arm (t->opts.loop, &t->send_timer,
-            now_us + (t->message.n > 0 ? RESEND_US : IDLE_RESEND_US));
+            now_us + (t->message.nentries > 0 ? RESEND_US : IDLE_RESEND_US));
 }
 
 void
@@ -312,7 +312,7 @@
       met_add (MET_LOADS_UNREAD, 1);
       return;
     }
-  if (!load_take (t->opts.load_table, &w, now_us))
+  if (!load_update (t->opts.load_table, &w, now_us))
     return;
   met_add (MET_LOADS_HEARD, 1);
   l = find_peer (t, w.vm);
@@ -576,7 +576,7 @@
 {
   if (!t->listed)
     return 0;
-  return cold_part (rate, count_active (t), own_rank (t, endpoint));
+  return cold_share (rate, count_active (t), own_rank (t, endpoint));
 }
 
 int64_t
@@ -587,15 +587,15 @@
   uint64_t turn = 0;
 
   if (!t->listed)
-    return LIMIT_LOOK_US;
-  if (limit_takes_turns (milli, vms))
+    return LIMIT_PROBE_INTERVAL_US;
+  if (limit_is_rotated (milli, vms))
     {
-      if (limit_is_between (clock_ms))
+      if (limit_is_rotation_pause (clock_ms))
         return 0;
-      turn = limit_turn (clock_ms);
+      turn = limit_rotation (clock_ms);
     }
   endpoint = XXH3_64bits_withSeed (&endpoint, sizeof endpoint, turn);
-  return limit_gap_us (milli, vms, own_rank (t, endpoint));
+  return limit_interval_us (milli, vms, own_rank (t, endpoint));
 }
 
 bool
@@ -625,7 +625,7 @@
   g_strlcpy (t->self.domain, opts->domain, sizeof t->self.domain);
   g_strlcpy (t->message.vm, opts->vm, sizeof t->message.vm);
   g_strlcpy (t->message.domain, opts->domain, sizeof t->message.domain);
-  t->message.life = (uint64_t)g_get_real_time ();
+  t->message.incarnation = (uint64_t)g_get_real_time ();
   t->send_timer.fire = on_send_timer;
   t->send_timer.arg = t;
   t->list.fire = on_list_timer;
@@ -640,7 +640,7 @@
   loop_watch (opts->loop, t->watch, true, false);
   log_event (LOG_LEVEL_INFO, "tell_listen",
              "address=%s life=%" G_GUINT64_FORMAT, t->self.address,
-             (guint64)t->message.life);
+             (guint64)t->message.incarnation);
   schedule_list_read (t, loop_now_us ());
   return t;
 }
--- a/orders.c
+++ b/orders.c
@@ -112,9 +112,9 @@
 {
   const struct fleet_wanted *w;
 
-  if (e->is.model[0] == '\0')
+  if (e->listing.model[0] == '\0')
     return 0;
-  w = fleet_wanted_of (o->opts.fleet, e->is.model);
+  w = fleet_wanted_of (o->opts.fleet, e->listing.model);
   return w != NULL ? w->version : 0;
 }
 
@@ -372,7 +372,7 @@
 may_load_another (const struct orders *o, const char *model, int64_t now_us)
 {
   return count_active_tasks (o)
-         < pick_reload_width (o->opts.fleet, model, now_us);
+         < pick_reload_max (o->opts.fleet, model, now_us);
 }
 
 /* Whether the order may be sent again.  A task whose order got no answer did
@@ -384,7 +384,8 @@
 {
   return t->phase == TASK_LOADING && now_us - t->since_us > t->resend_after_us
          && (!t->unanswered
-             || may_load_another (t->orders, t->endpoint->is.model, now_us));
+             || may_load_another (t->orders, t->endpoint->listing.model,
+                                  now_us));
 }
 
 /* Whether some endpoint is due for an order, the first or a repeated one. */
@@ -469,9 +470,9 @@
 apply_notice (struct task *t, const struct notice *notice, const char *source,
               int64_t sent_us, int64_t now_us)
 {
-  struct notice_from from = { .source = source, .sent_us = sent_us };
+  struct notice_origin from = { .source = source, .sent_us = sent_us };
 
-  notice_take (t->endpoint, notice, &from, now_us);
+  notice_apply (t->endpoint, notice, &from, now_us);
 }
 
 static void
@@ -492,11 +493,11 @@
   log_event (LOG_LEVEL_INFO, "order",
              "endpoint=%s outcome=%s model=%s version=%" G_GINT64_FORMAT
              " seq=%" G_GINT64_FORMAT " fence=%" G_GINT64_FORMAT,
-             t->endpoint->is.id, names[code], t->order.model,
+             t->endpoint->listing.id, names[code], t->order.model,
              (gint64)t->order.version, (gint64)t->order.seq,
              (gint64)t->order.fence);
   if (code == ORDER_UP_TO_DATE)
-    fleet_take_version (t->endpoint, t->order.version, t->since_us, now);
+    fleet_apply_version (t->endpoint, t->order.version, t->since_us, now);
   if (code == ORDER_REJECTED)
     task_set (t, TASK_SKIPPED, now);
   else
@@ -510,7 +511,7 @@
 {
   struct orders *o = t->orders;
 
-  t->order.model = t->endpoint->is.model;
+  t->order.model = t->endpoint->listing.model;
   t->order.version = wanted_version (o, t->endpoint);
   t->order.holder = o->holder;
   t->order.fence = o->fence;
@@ -523,7 +524,7 @@
   t->order.continue_running = true;
   t->calling = true;
   t->unanswered = false;
-  t->endpoint->reload_us = now_us;
+  t->endpoint->reload_ordered_us = now_us;
   task_set (t, TASK_SENDING, now_us);
   o->opts.ops.send_order (o->opts.ops.ctx, t->endpoint, &t->order, may_send,
                           on_ordered, t);
@@ -542,18 +543,19 @@
                      int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
-  enum fleet_life life = fleet_life_of (e, s->started_ms);
+  enum fleet_incarnation life = fleet_incarnation_compare (e, s->started_ms);
 
-  if (e->gone || life == FLEET_LIFE_SAME || life == FLEET_LIFE_UNSAID)
-    return !e->gone;
+  if (e->removed || life == FLEET_INCARNATION_SAME
+      || life == FLEET_INCARNATION_UNKNOWN)
+    return !e->removed;
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s source=report born_ms=%" G_GINT64_FORMAT
              " before_ms=%" G_GINT64_FORMAT,
-             e->is.id,
-             life == FLEET_LIFE_YOUNGER ? "started_again" : "passed_over",
-             (gint64)s->started_ms, (gint64)e->is.born_ms);
-  if (life == FLEET_LIFE_YOUNGER)
-    fleet_take_birth (t->orders->opts.fleet, e, s->started_ms, now_us);
+             e->listing.id,
+             life == FLEET_INCARNATION_NEWER ? "started_again" : "passed_over",
+             (gint64)s->started_ms, (gint64)e->listing.started_ms);
+  if (life == FLEET_INCARNATION_NEWER)
+    fleet_apply_restart (t->orders->opts.fleet, e, s->started_ms, now_us);
   return false;
 }
 
@@ -565,14 +567,16 @@
 
   if (s->busy)
     return;
-  fleet_take_version (e, s->version, t->queried_us - STATE_MAX_AGE_US, now_us);
+  fleet_apply_version (e, s->version, t->queried_us - STATE_MAX_AGE_US,
+                       now_us);
   if (e->version == before)
     return;
-  log_event (LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
-             "endpoint=%s version=%" G_GINT64_FORMAT
-             " before=%" G_GINT64_FORMAT " took_us=%" G_GINT64_FORMAT,
-             e->is.id, (gint64)e->version, (gint64)before,
-             (gint64)(e->reload_us ? now_us - e->reload_us : 0));
+  log_event (
+      LOG_LEVEL_INFO, e->version > before ? "loaded" : "weights_fell",
+      "endpoint=%s version=%" G_GINT64_FORMAT " before=%" G_GINT64_FORMAT
+      " took_us=%" G_GINT64_FORMAT,
+      e->listing.id, (gint64)e->version, (gint64)before,
+      (gint64)(e->reload_ordered_us ? now_us - e->reload_ordered_us : 0));
 }
 
 /* The reported state decides: an order is sent only if none is being carried
@@ -594,7 +598,7 @@
     }
   if (!is_same_incarnation (t, s, now))
     {
-      if (t->endpoint->gone)
+      if (t->endpoint->removed)
         loop_arm (o->opts.loop, &o->timer, now);
       return;
     }
@@ -708,7 +712,7 @@
   struct task *t;
 
   while (o->ntasks < MAX_TASKS && (e = next_endpoint (o)) != NULL
-         && may_load_another (o, e->is.model, now_us))
+         && may_load_another (o, e->listing.model, now_us))
     {
       t = g_new0 (struct task, 1);
       t->orders = o;
--- a/parts.c
+++ b/parts.c
@@ -159,10 +159,10 @@
     }
   if (sv->domain != NULL)
     g_strlcpy (s->domain, sv->domain, sizeof s->domain);
-  s->capacity_tokens = sv->memory_tokens;
+  s->capacity_tokens = sv->kv_capacity_tokens;
   s->link_mbit_s = sv->link_mbit_s;
   s->calls_max = sv->calls_max;
-  s->transfer_latency_us = sv->first_us;
+  s->transfer_latency_us = sv->transfer_latency_us;
   s->configured = true;
 }
 
@@ -180,7 +180,7 @@
   p->token_bytes = 0;
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&sv))
     {
-      p->token_bytes = MAX (p->token_bytes, sv->token_bytes);
+      p->token_bytes = MAX (p->token_bytes, sv->kv_token_bytes);
       if (sv->store_address != NULL)
         add_store (p, sv);
     }
@@ -267,7 +267,7 @@
 may_use_store (const struct parts_query *q, const struct parts_store *s)
 {
   return q == NULL || q->fleet == NULL
-         || fleet_is_home (q->fleet, &q->homes, s->domain);
+         || fleet_is_region_allowed (q->fleet, &q->homes, s->domain);
 }
 
 /* Find a store that holds the complete part, preferably in DOMAIN, since a
--- a/parts.h
+++ b/parts.h
@@ -126,7 +126,7 @@
   int64_t wait_us;           /* how long it may wait before it begins */
   const struct fleet
       *fleet; /* knows regions; NULL: stores of all regions may be used */
-  struct fleet_homes homes; /* regions that the request may use */
+  struct fleet_region_limits homes; /* regions that the request may use */
 };
 
 /* Tokens of the N parts in LIST that stores hold complete. */
--- a/regress/modelannounce.c
+++ b/regress/modelannounce.c
@@ -45,11 +45,12 @@
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
   int64_t end = announced_us + OLD_MAX_US + SLACK_US;
 
-  if (n != NULL && !fleet_outdated_for (&v->fleet, e, OLD_MAX_US, end))
+  if (n != NULL && !fleet_is_outdated_for (&v->fleet, e, OLD_MAX_US, end))
     model_fail ("old weights too late",
-                (fleet_outdated_since (&v->fleet, e) - announced_us) / MS);
+                (fleet_earliest_outdated_us (&v->fleet, e) - announced_us)
+                    / MS);
   else if (n == NULL && world.now_us > end
-           && fleet_age_us (&v->fleet, world.now_us) <= STALE_US)
+           && fleet_conf_age_us (&v->fleet, world.now_us) <= STALE_US)
     model_fail ("an announcement is not seen",
                 (world.now_us - announced_us) / MS);
 }
@@ -60,7 +61,7 @@
 {
   const struct world_announcement *last
       = &world.announcements[world.nannouncements - 1];
-  int64_t since = fleet_not_before (&v->fleet, "m", last->version);
+  int64_t since = fleet_earliest_naming_us (&v->fleet, "m", last->version);
 
   if (since > last->at_us + SLACK_US)
     model_fail ("an announcement is dated too late",
@@ -72,13 +73,13 @@
 {
   const struct fleet_endpoint *e = some_endpoint (v);
   const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
-  int64_t since = fleet_outdated_since (&v->fleet, e);
+  int64_t since = fleet_earliest_outdated_us (&v->fleet, e);
   int64_t soon = announced_us + OLD_MAX_US - EARLY_MAX_US;
 
   if (n == NULL || v->started_us > announced_us - SETTLED_US
-      || n->heard_us > announced_us + CQ_US_PER_S)
+      || n->learned_us > announced_us + CQ_US_PER_S)
     return;
-  if (fleet_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
+  if (fleet_is_outdated_for (&v->fleet, e, OLD_MAX_US, soon))
     model_fail ("old weights given up too early",
                 since != FLEET_NEVER ? (announced_us - since) / MS : 0);
 }
@@ -93,7 +94,7 @@
   int64_t known_us = MAX (v->started_us, announced_us) + KNOWN_US;
 
   if (world.now_us >= known_us && fleet_outdated_by (&v->fleet, e) != NULL
-      && fleet_outdated_since (&v->fleet, e) == FLEET_NEVER)
+      && fleet_earliest_outdated_us (&v->fleet, e) == FLEET_NEVER)
     model_fail ("the time is not known", (world.now_us - known_us) / MS);
 }
 
@@ -121,9 +122,9 @@
   if (n == NULL || n->version == 1)
     return;
   if (world_is_off (OFF_SINCE))
-    fleet_named_since (&v->fleet, "m", n->version, n->heard_us);
-  if (world_is_off (OFF_ANSWER_BOUNDS) && n->heard_us == world.now_us)
-    w->nfacts = 0;
+    fleet_add_naming_bound (&v->fleet, "m", n->version, n->learned_us);
+  if (world_is_off (OFF_ANSWER_BOUNDS) && n->learned_us == world.now_us)
+    w->nbounds = 0;
 }
 
 static void
--- a/regress/modelrestart.c
+++ b/regress/modelrestart.c
@@ -43,7 +43,7 @@
 
   APR_RING_FOREACH (f, &v->fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     if (f->version == world.endpoints[i].version)
       continue;
     answer = world_at (world.now_us + TRAVEL_US, v->index, on_refused);
@@ -65,7 +65,7 @@
 
   APR_RING_FOREACH (f, &world.vms[0].fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     highest[i] = MAX (highest[i], f->version);
     f->version = highest[i];
     f->version_doubted = false;
@@ -85,11 +85,11 @@
                   world.endpoints[i].version);
   APR_RING_FOREACH (f, &world.vms[0].fleet.endpoints, fleet_endpoint, link)
   {
-    i = f->is.id[0] - '0';
+    i = f->listing.id[0] - '0';
     if (f->version != world.endpoints[i].version || f->version_doubted)
       model_fail ("the known weight version is wrong", f->version);
-    if (f->is.born_ms != world.endpoints[i].started_ms)
-      model_fail ("a restart is not noticed", f->is.born_ms);
+    if (f->listing.started_ms != world.endpoints[i].started_ms)
+      model_fail ("a restart is not noticed", f->listing.started_ms);
   }
 }
 
--- a/regress/modelworld.c
+++ b/regress/modelworld.c
@@ -263,7 +263,7 @@
   l->id[0] = (char)('0' + endpoint);
   g_strlcpy (l->model, "m", sizeof l->model);
   l->version = world.endpoints[endpoint].version;
-  l->born_ms = world.endpoints[endpoint].started_ms;
+  l->started_ms = world.endpoints[endpoint].started_ms;
   l->slots = 4;
 }
 
@@ -276,7 +276,7 @@
   for (i = 0; i < world.nendpoints; i++)
     {
       world_list (i, &l);
-      fleet_take_listing (&v->fleet, &l, world.now_us);
+      fleet_apply_listing (&v->fleet, &l, world.now_us);
     }
 }
 
@@ -336,7 +336,7 @@
   if (world.nannouncements == 0)
     return;
   n = &world.announcements[world.nannouncements - 1];
-  fleet_take_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
+  fleet_apply_wanted (&v->fleet, "m", n->version, world.now_us, world.now_us);
   orders_check (v->orders, world.now_us);
 }
 
@@ -437,7 +437,7 @@
 
   if (!world_send_call (v, lost ? 0 : way))
     return;
-  w = &world.endpoints[f->is.id[0] - '0'];
+  w = &world.endpoints[f->listing.id[0] - '0'];
   e = world_at (world.now_us + (lost ? 400 * MS : 2 * TRAVEL_US), v->index,
                 answer_state);
   e->state = done;
@@ -456,7 +456,7 @@
   char id[2] = { (char)('0' + e->endpoint), '\0' };
   struct fleet_endpoint *f = g_hash_table_lookup (v->fleet.by_id, id);
 
-  fleet_take_version (f, e->is.version, FLEET_NEVER, world.now_us);
+  fleet_apply_version (f, e->is.version, FLEET_NEVER, world.now_us);
   orders_check (v->orders, world.now_us);
 }
 
@@ -543,7 +543,7 @@
   struct fleet_listing l = { .slots = 0 };
 
   world_list (e->endpoint, &l);
-  fleet_take_listing (&v->fleet, &l, world.now_us);
+  fleet_apply_listing (&v->fleet, &l, world.now_us);
   orders_check (v->orders, world.now_us);
 }
 
@@ -625,7 +625,7 @@
 
   if (world.with_restarts)
     {
-      order_with_restarts (v, f->is.id[0] - '0', o, done, arg);
+      order_with_restarts (v, f->listing.id[0] - '0', o, done, arg);
       return;
     }
   if (!world_send_call (v, way < WORLD_SEND_WAYS ? way : 0))
@@ -645,7 +645,8 @@
       e->at_us = world.now_us + 800 * MS;
     }
   if (!lost)
-    send_order (v, f->is.id[0] - '0', o, late ? LATE_ORDER_US : TRAVEL_US);
+    send_order (v, f->listing.id[0] - '0', o,
+                late ? LATE_ORDER_US : TRAVEL_US);
 }
 
 /* --- one run --------------------------------------------------------- */
--- a/regress/relayharness.c
+++ b/regress/relayharness.c
@@ -15,7 +15,7 @@
 {
   struct harness *p = ctx;
 
-  g_strlcpy (p->to[p->sends % 4], s->endpoint->is.id, FLEET_NAME_SIZE);
+  g_strlcpy (p->to[p->sends % 4], s->endpoint->listing.id, FLEET_NAME_SIZE);
   p->sends++;
   p->event = events;
   p->arg = arg;
@@ -183,7 +183,7 @@
   w->isolated = true;
   g_ptr_array_add (c->workspaces, w);
   g_hash_table_insert (c->keys, g_strdup (key), w);
-  fleet_conf_seal (c);
+  fleet_conf_build_index (c);
   return c;
 }
 
@@ -201,7 +201,7 @@
   g_strlcpy (l.id, id, sizeof l.id);
   g_strlcpy (l.service, "s", sizeof l.service);
   g_strlcpy (l.model, "m", sizeof l.model);
-  fleet_take_listing (&p->fleet, &l, 1);
+  fleet_apply_listing (&p->fleet, &l, 1);
 }
 
 struct harness *
@@ -215,9 +215,9 @@
 
   p->loop = loop_new ();
   fleet_init (&p->fleet);
-  fleet_take_conf (&p->fleet, harness_conf (1, kind, "key"), 1);
+  fleet_apply_conf (&p->fleet, harness_conf (1, kind, "key"), 1);
   p->fleet.listed = true;
-  p->fleet.fresh_us = loop_now_us ();
+  p->fleet.conf_current_us = loop_now_us ();
   harness_add_endpoint (p, "a");
   harness_add_endpoint (p, "b");
   o.loop = p->loop;
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -1,4 +1,4 @@
-/* Unit tests of cold endpoints: who may send there, and when. */
+/* Unit tests of cold endpoints: which VMs may send there, and when. */
 #include <glib.h>
 #include <string.h>
 
@@ -7,13 +7,13 @@
 #include "loadgossip.h"
 #include "units.h"
 
-#define RATES 40   /* requests a second, up to */
-#define VMS 100    /* VMs, up to */
-#define TRIES 5000 /* draws in the play of one VM */
+#define RATES 40   /* highest rate, requests a second */
+#define VMS 100    /* most VMs */
+#define TRIES 5000 /* attempts of the simulated VM */
 
-/* Guards against parts that add up to more than the endpoint bears. */
+/* Guards against shares that add up to more than the endpoint can take. */
 static void
-test_parts (void)
+test_shares (void)
 {
   int rate, vms, rank, sum;
 
@@ -22,13 +22,13 @@
       {
         sum = 0;
         for (rank = 0; rank < vms; rank++)
-          sum += cold_part (rate, vms, rank);
+          sum += cold_share (rate, vms, rank);
         g_assert_cmpint (sum, <=, rate);
         g_assert_true (rate == 0 || 2 * sum >= rate);
       }
 }
 
-/* Guards against a second that holds more than a VM's part of the rate. */
+/* Guards against a second that holds more than a VM's share of the rate. */
 static void
 test_second (void)
 {
@@ -39,7 +39,7 @@
   int64_t now = CQ_US_PER_S;
   int i, n = 0;
 
-  cold_judge (&c, rate, now);
+  cold_set_share (&c, rate, now);
   for (i = 0; i < TRIES; i++, now += g_rand_int_range (rand, 0, 200000))
     {
       if (!pace_may_send (&c.pace, now))
@@ -51,9 +51,9 @@
   g_assert_cmpint (n, >, 100);
 }
 
-/* Guards against VMs that are gone and keep their share of duties, and against
-   live ones that lose theirs since they are read more often than they write.
- */
+/* Guards against VMs that have ended and keep their share of duties, and
+   against live ones that lose theirs because they are read more often than
+   they write. */
 static void
 test_roster_age (void)
 {
@@ -94,12 +94,12 @@
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
 
   s->name = g_strdup ("s");
-  s->cold_us = 3 * CQ_US_PER_S;
-  s->cold_rate = 10;
+  s->cold_start_us = 3 * CQ_US_PER_S;
+  s->cold_requests_s = 10;
   g_hash_table_replace (p->fleet.conf->services, s->name, s);
 }
 
-/* Guards against a burst at an endpoint that bears one request a second. */
+/* Guards against a burst at an endpoint that can take one request a second. */
 static void
 test_burst (void)
 {
@@ -107,7 +107,7 @@
   int i, cold = 0;
 
   declare_cold (p);
-  p->fleet.cold_part = one_a_second;
+  p->fleet.cold_share = one_a_second;
   cold_until (&harness_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
   for (i = 0; i < 20; i++)
@@ -125,7 +125,7 @@
 static void
 test_cold_before_send (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
   harness_start (p);
@@ -135,12 +135,12 @@
   harness_free (p);
 }
 
-/* Guards against requests that wait for endpoints that are all cold, where
-   other VMs have the rate. */
+/* Guards against requests that wait for endpoints that are all cold, when
+   other VMs have the shares of their rate. */
 static void
 test_all_cold (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
   cold_until (&harness_endpoint (p, "a")->cold,
@@ -155,7 +155,7 @@
 }
 
 const struct unit cold_units[] = {
-  { "/cold/parts", test_parts },
+  { "/cold/shares", test_shares },
   { "/cold/second", test_second },
   { "/roster/age", test_roster_age },
   { "/cold/burst", test_burst },
--- a/regress/test-follow.c
+++ b/regress/test-follow.c
@@ -205,19 +205,19 @@
   /* Sent 20 ms after the first reply, and 10 ms or more in transit. */
   p->store_ms = 50020;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, >=, before + 19 * MS);
-  g_assert_cmpint (p->fleet.fresh_us, <=, polled_at + 20 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, >=, before + 19 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, polled_at + 20 * MS);
   /* The platform's clock jumps forward by an hour. */
   answered_at = loop_now_us ();
   p->store_ms = 50020 + 3600000;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, answered_at);
   /* And back again. */
   g_usleep (10000);
   answered_at = loop_now_us ();
   p->store_ms = 50100;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, answered_at);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, answered_at);
   source_free (p);
 }
 
@@ -238,7 +238,7 @@
   p->store_ms = 50045;
   p->parse_us = 40 * MS;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, <=, loop_now_us () - 40 * MS);
+  g_assert_cmpint (p->fleet.conf_current_us, <=, loop_now_us () - 40 * MS);
   source_free (p);
 }
 
@@ -258,7 +258,7 @@
 static int64_t
 not_named_before (const struct source *p, int64_t version)
 {
-  return MAX (fleet_not_before (&p->fleet, "m", version), 0);
+  return MAX (fleet_earliest_naming_us (&p->fleet, "m", version), 0);
 }
 
 /*
@@ -311,7 +311,7 @@
 
   p->store_ms = loop_now_us () / MS;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, naming_item (one, 3, 1));
-  read = p->fleet.fresh_us;
+  read = p->fleet.conf_current_us;
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
   /* Version 2 is named in change 25, and change 35 overwrites its row. */
   g_usleep (40000);
@@ -335,11 +335,11 @@
 
   g_usleep (20000);
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_OK, 10, NULL);
-  fresh = p->fleet.fresh_us;
+  fresh = p->fleet.conf_current_us;
   g_assert_cmpint (fresh, <=, before);
   g_assert_cmpint (fresh, >, 0);
   send_reply (p, FOLLOW_OPERATOR, FOLLOW_NO_REPLY, 0, NULL);
-  g_assert_cmpint (p->fleet.fresh_us, ==, fresh);
+  g_assert_cmpint (p->fleet.conf_current_us, ==, fresh);
   source_free (p);
 }
 
@@ -584,7 +584,7 @@
   send_reply (p, FOLLOW_ENDPOINTS, FOLLOW_OK, 20, endpoint_items (one, false));
   b = g_hash_table_lookup (p->fleet.by_id, "b");
   g_assert_nonnull (b);
-  g_assert_cmpint (b->missing_us, !=, 0);
+  g_assert_cmpint (b->missing_since_us, !=, 0);
   source_free (p);
 }
 
--- a/regress/test-notice.c
+++ b/regress/test-notice.c
@@ -1,11 +1,11 @@
-/* Unit tests of what endpoints say of themselves in their answers. */
+/* Unit tests of what endpoints report about themselves in their answers. */
 #include <glib.h>
 #include <string.h>
 
 #include "relayharness.h"
 #include "units.h"
 
-/* Start a request that is placed at A. */
+/* Starts a request that is placed at A. */
 static void
 start_at_a (struct harness *p)
 {
@@ -20,7 +20,7 @@
 }
 
 static void
-say (struct harness *p, const struct notice *n)
+answer_with_notice (struct harness *p, const struct notice *n)
 {
   struct relay_head h = { .status = 200, .genuine = true, .running = -1 };
 
@@ -29,7 +29,7 @@
   harness_answer_head (p, &h);
 }
 
-/* Requests of twenty that go to A. */
+/* Returns how many of twenty requests go to A. */
 static int
 count_at_a (struct harness *p)
 {
@@ -45,51 +45,53 @@
   return n;
 }
 
-/* Guards against an endpoint that says it leaves and is listed as ready. */
+/* Guards against requests to an endpoint that reports that it drains but is
+   listed as ready. */
 static void
-test_leaving (void)
+test_draining (void)
 {
   static const struct notice leaving = { .leaving = true };
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct fleet_listing ready;
 
   start_at_a (p);
-  say (p, &leaving);
+  answer_with_notice (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  ready = harness_endpoint (p, "a")->is;
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  ready = harness_endpoint (p, "a")->listing;
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  /* The next life has said nothing. */
-  ready.born_ms = 1700000000000;
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  /* The next incarnation has reported nothing. */
+  ready.started_ms = 1700000000000;
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), >, 0);
   harness_free (p);
 }
 
-/* Guards against beliefs that go with an endpoint's entry: it lapsed, or the
-   list is an older copy. */
+/* Guards against notices that are lost with an endpoint's entry: it lapsed, or
+   the list is an older copy. */
 static void
 test_entry_returns (void)
 {
   static const struct notice leaving = { .leaving = true };
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = harness_endpoint (p, "a")->is;
+  struct fleet_listing ready = harness_endpoint (p, "a")->listing;
 
   start_at_a (p);
-  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
   g_assert_null (harness_endpoint (p, "a"));
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
-  /* Its answer comes when the entry is back. */
-  say (p, &leaving);
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
+  /* Its answer arrives after the entry has returned. */
+  answer_with_notice (p, &leaving);
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
   harness_free (p);
 }
 
-/* Guards against memory that grows with all endpoints that ever left. */
+/* Guards against memory that grows with every endpoint that was ever
+   removed. */
 static void
 test_former_bounded (void)
 {
@@ -101,115 +103,121 @@
   for (i = 0; i < 5000; i++)
     {
       g_snprintf (l.id, sizeof l.id, "i-%d", i);
-      fleet_take_missing (&f, fleet_take_listing (&f, &l, 1), 1);
+      fleet_apply_missing (&f, fleet_apply_listing (&f, &l, 1), 1);
     }
   g_assert_cmpint (f.nformer, <, 1000);
   l.draining = false;
-  g_assert_true (fleet_take_listing (&f, &l, 2)->draining);
+  g_assert_true (fleet_apply_listing (&f, &l, 2)->draining);
   fleet_clear (&f);
 }
 
-/* Guards against a request that was placed before its endpoint said that it
-   leaves. */
+/* Guards against a request that was placed before its endpoint reported that
+   it drains. */
 static void
-test_leaving_before_send (void)
+test_draining_before_send (void)
 {
   static const struct notice leaving = { .leaving = true };
-  static const struct notice_from from = { .source = "answer", .whole = true };
-  struct harness *p = harness_new (FLEET_ONCE);
+  static const struct notice_origin from
+      = { .source = "answer", .has_all_notices = true };
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
-  notice_take (harness_endpoint (p, p->to[0]), &leaving, &from,
-               loop_now_us ());
+  notice_apply (harness_endpoint (p, p->to[0]), &leaving, &from,
+                loop_now_us ());
   harness_expect_next_endpoint (p);
   harness_free (p);
 }
 
-/* A refusal that asks for REST_US comes. */
+/* Plays a refusal that requests a backoff of BACKOFF_US. */
 static void
-refuse (struct harness *p, int64_t rest_us)
+refuse (struct harness *p, int64_t backoff_us)
 {
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
 
   h.lines = harness_seal;
-  h.notice.rest_us = rest_us;
+  h.notice.backoff_us = backoff_us;
   harness_answer_head (p, &h);
 }
 
-/* Guards against requests to an endpoint that asked for rest, also once its
-   entry is back, and against one that is never asked again. */
+/* Guards against requests to an endpoint that requested a backoff, also after
+   its entry has returned, and against one that gets no request after the
+   backoff. */
 static void
-test_rest (void)
+test_backoff (void)
 {
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
-  struct fleet_listing ready = harness_endpoint (p, "a")->is;
+  struct fleet_listing ready = harness_endpoint (p, "a")->listing;
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
   harness_answer (p, "ok");
   g_assert_cmpint (count_at_a (p), ==, 0);
-  fleet_take_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
-  fleet_take_listing (&p->fleet, &ready, loop_now_us ());
+  fleet_apply_missing (&p->fleet, harness_endpoint (p, "a"), loop_now_us ());
+  fleet_apply_listing (&p->fleet, &ready, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  harness_endpoint (p, "a")->asked_rest_us = loop_now_us ();
+  harness_endpoint (p, "a")->requested_backoff_until_us = loop_now_us ();
   harness_endpoint (p, "a")->full_until_us = 0;
   g_assert_cmpint (count_at_a (p), >, 0);
   harness_free (p);
 }
 
-/* Guards against notices that are put down to the start before: the endpoint
-   has started again, says them, and its entry says so later. */
+/* Guards against notices that are recorded for the previous incarnation: the
+   endpoint has restarted and sends them before its entry shows the restart. */
 static void
-test_start_heard_late (void)
+test_restart_listed_late (void)
 {
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
-  struct fleet_listing l = harness_endpoint (p, "a")->is;
+  struct fleet_listing l = harness_endpoint (p, "a")->listing;
   static const struct notice limit
-      = { .limit_said = true, .limit_milli = 1000 };
-  static const struct notice_from from = { .source = "answer", .whole = true };
+      = { .has_limit = true, .limit_milli_rps = 1000 };
+  static const struct notice_origin from
+      = { .source = "answer", .has_all_notices = true };
 
   start_at_a (p);
   refuse (p, 60 * CQ_US_PER_S);
   harness_answer (p, "ok");
-  notice_take (harness_endpoint (p, "a"), &limit, &from, loop_now_us ());
-  l.born_ms = 1700000000000;
-  fleet_take_listing (&p->fleet, &l, loop_now_us ());
+  notice_apply (harness_endpoint (p, "a"), &limit, &from, loop_now_us ());
+  l.started_ms = 1700000000000;
+  fleet_apply_listing (&p->fleet, &l, loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (harness_endpoint (p, "a")->limit.named);
-  fleet_take_birth (&p->fleet, harness_endpoint (p, "a"), l.born_ms + 1,
-                    loop_now_us ());
+  g_assert_true (harness_endpoint (p, "a")->limit.active);
+  fleet_apply_restart (&p->fleet, harness_endpoint (p, "a"), l.started_ms + 1,
+                       loop_now_us ());
   g_assert_cmpint (count_at_a (p), ==, 0);
-  g_assert_true (harness_endpoint (p, "a")->limit.named);
+  g_assert_true (harness_endpoint (p, "a")->limit.active);
   harness_free (p);
 }
 
-/* Guards against a shorter rest that is heard later and ends a longer one. */
+/* Guards against a shorter backoff that arrives later and ends a longer
+   one. */
 static void
-test_rest_longest (void)
+test_longest_backoff (void)
 {
-  static const struct notice_from from = { .source = "answer" };
-  struct notice n = { .rest_us = 5 * CQ_US_PER_S };
+  static const struct notice_origin from = { .source = "answer" };
+  struct notice n = { .backoff_us = 5 * CQ_US_PER_S };
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
   struct fleet_endpoint *e = harness_endpoint (p, "a");
 
-  notice_take (e, &n, &from, CQ_US_PER_S);
-  n.rest_us = CQ_US_PER_S;
-  notice_take (e, &n, &from, 2 * CQ_US_PER_S);
-  g_assert_true (pick_rests (e, 6 * CQ_US_PER_S - 1));
-  g_assert_false (pick_rests (e, 6 * CQ_US_PER_S));
+  notice_apply (e, &n, &from, CQ_US_PER_S);
+  n.backoff_us = CQ_US_PER_S;
+  notice_apply (e, &n, &from, 2 * CQ_US_PER_S);
+  g_assert_true (pick_is_backoff_requested (e, 6 * CQ_US_PER_S - 1));
+  g_assert_false (pick_is_backoff_requested (e, 6 * CQ_US_PER_S));
   harness_free (p);
 }
 
-/* Guards against a request that was placed before its endpoint asked for rest,
-   and against callers who wait for endpoints that all rest. */
+/* Guards against a request that was placed before its endpoint requested a
+   backoff, and against callers who wait while all endpoints are in backoff. */
 static void
-test_all_rest (void)
+test_all_in_backoff (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
-  harness_endpoint (p, "a")->asked_rest_us = loop_now_us () + 3 * CQ_US_PER_S;
-  harness_endpoint (p, "b")->asked_rest_us = loop_now_us () + 8 * CQ_US_PER_S;
+  harness_endpoint (p, "a")->requested_backoff_until_us
+      = loop_now_us () + 3 * CQ_US_PER_S;
+  harness_endpoint (p, "b")->requested_backoff_until_us
+      = loop_now_us () + 8 * CQ_US_PER_S;
   g_assert_false (p->event->before_send (p->arg));
   harness_end (p, false, false);
   g_assert_cmpint (p->sends, ==, 1);
@@ -219,33 +227,34 @@
   harness_free (p);
 }
 
-/* Guards against the answer of whoever has the address of an endpoint now. */
+/* Guards against notices of another process that now has the address of an
+   endpoint. */
 static void
-test_other_life (void)
+test_other_incarnation (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.other_incarnation = true;
-  h.notice.limit_said = true;
-  h.notice.limit_milli = 1000;
+  h.notice.has_limit = true;
+  h.notice.limit_milli_rps = 1000;
   h.lines = harness_seal;
   harness_start (p);
   harness_answer_head (p, &h);
-  g_assert_false (harness_endpoint (p, p->to[0])->limit.named);
+  g_assert_false (harness_endpoint (p, p->to[0])->limit.active);
   harness_answer (p, "ok");
   harness_free (p);
 }
 
 const struct unit notice_units[] = {
-  { "/notice/leaving", test_leaving },
+  { "/notice/draining", test_draining },
   { "/notice/entry-returns", test_entry_returns },
   { "/notice/former-bounded", test_former_bounded },
-  { "/notice/leaving-before-send", test_leaving_before_send },
-  { "/notice/rest", test_rest },
-  { "/notice/start-heard-late", test_start_heard_late },
-  { "/notice/rest-longest", test_rest_longest },
-  { "/notice/all-rest", test_all_rest },
-  { "/notice/other-life", test_other_life },
+  { "/notice/draining-before-send", test_draining_before_send },
+  { "/notice/backoff", test_backoff },
+  { "/notice/restart-listed-late", test_restart_listed_late },
+  { "/notice/longest-backoff", test_longest_backoff },
+  { "/notice/all-in-backoff", test_all_in_backoff },
+  { "/notice/other-incarnation", test_other_incarnation },
   { NULL, NULL },
 };
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -217,7 +217,7 @@
   s.seq = st->seq;
   if (st->each_busy)
     {
-      s.busy = g_hash_table_contains (st->loading, e->is.id);
+      s.busy = g_hash_table_contains (st->loading, e->listing.id);
       s.seq = s.busy;
     }
   s.version = st->version;
@@ -245,7 +245,7 @@
   if (!st->lose_orders && st->each_busy)
     {
       st->seq++;
-      g_hash_table_add (st->loading, g_strdup (e->is.id));
+      g_hash_table_add (st->loading, g_strdup (e->listing.id));
     }
   else if (!st->lose_orders)
     {
@@ -271,7 +271,7 @@
   fleet_init (&st->fleet);
   g_strlcpy (l.id, "e", sizeof l.id);
   g_strlcpy (l.model, "m", sizeof l.model);
-  fleet_take_listing (&st->fleet, &l, 1);
+  fleet_apply_listing (&st->fleet, &l, 1);
   o.loop = st->loop;
   o.fleet = &st->fleet;
   o.ops.read_lease = read_lease;
@@ -344,7 +344,7 @@
 {
   int64_t now = loop_now_us ();
 
-  fleet_take_wanted (&st->fleet, "m", 2, now, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now, now);
   orders_check (st->orders, now);
 }
 
@@ -433,7 +433,7 @@
   struct stage *st = stage_new ();
 
   st->started_ms = 1000;
-  endpoint_of (st)->is.born_ms = 1000;
+  endpoint_of (st)->listing.started_ms = 1000;
   st->hold_busy = true;
   announce_version (st);
   wait_until (st, was_sent);
@@ -444,7 +444,7 @@
   st->started_ms = 2000;
   wait_until (st, was_sent_again);
   g_assert_cmpint (st->last_seq, ==, 0);
-  g_assert_cmpint (endpoint_of (st)->is.born_ms, ==, 2000);
+  g_assert_cmpint (endpoint_of (st)->listing.started_ms, ==, 2000);
   wait_until (st, is_released);
   stage_free (st);
 }
@@ -460,7 +460,7 @@
   struct stage *st = stage_new ();
 
   st->started_ms = 1000;
-  endpoint_of (st)->is.born_ms = 2000;
+  endpoint_of (st)->listing.started_ms = 2000;
   st->seq = 3;
   st->version = 2;
   announce_version (st);
@@ -489,7 +489,7 @@
   struct stage *st = stage_new ();
 
   st->started_ms = 0;
-  endpoint_of (st)->is.born_ms = 2000;
+  endpoint_of (st)->listing.started_ms = 2000;
   announce_version (st);
   wait_until (st, is_released);
   g_assert_cmpint (st->orders_sent, ==, 1);
@@ -529,7 +529,7 @@
 {
   int64_t now = loop_now_us ();
 
-  fleet_take_wanted (&st->fleet, "m", 2, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, now);
   orders_check (st->orders, now);
 }
 
@@ -537,16 +537,16 @@
 static int64_t
 earliest_announcement_us (const struct stage *st)
 {
-  return fleet_not_before (&st->fleet, "m", 2);
+  return fleet_earliest_naming_us (&st->fleet, "m", 2);
 }
 
 /* Whether outdated weights would be used now if they may be for LIMIT_US. */
 static bool
 accepts_outdated (const struct stage *st, int64_t limit_us)
 {
-  return !fleet_outdated_for (&st->fleet,
-                              APR_RING_FIRST (&st->fleet.endpoints), limit_us,
-                              loop_now_us ());
+  return !fleet_is_outdated_for (&st->fleet,
+                                 APR_RING_FIRST (&st->fleet.endpoints),
+                                 limit_us, loop_now_us ());
 }
 
 /*
@@ -564,7 +564,7 @@
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
   lease_add_announcement (&st->row, &n);
-  fleet_take_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, loop_now_us ());
   g_assert_false (accepts_outdated (st, INT64_MAX));
   orders_check (st->orders, loop_now_us ());
   g_assert_true (accepts_outdated (st, 12 * CQ_US_PER_S));
@@ -632,7 +632,7 @@
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 1000 * MS, now);
   orders_check (st->orders, now);
   g_assert_cmpint (earliest_announcement_us (st), ==, now - 1000 * MS);
   stage_free (st);
@@ -650,7 +650,7 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   lease_add_announcement (&st->row, &other);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 700 * MS, now);
   orders_check (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (st->row.nannouncements, ==, 2);
@@ -671,7 +671,7 @@
 
   APR_RING_FOREACH (e, &st->fleet.endpoints, fleet_endpoint, link)
   {
-    if (e->reload_us == 0)
+    if (e->reload_ordered_us == 0)
       return false;
   }
   return true;
@@ -696,7 +696,7 @@
     {
       g_snprintf (l.id, sizeof l.id, "e%d", i);
       g_strlcpy (l.model, "m", sizeof l.model);
-      fleet_take_listing (&st->fleet, &l, 1);
+      fleet_apply_listing (&st->fleet, &l, 1);
     }
   st->lose_orders = true;
   announce_version (st);
@@ -730,7 +730,7 @@
   st->row_version = 5;
   lease_add_announcement (&st->row, &two);
   lease_add_announcement (&st->row, &three);
-  fleet_take_wanted (&st->fleet, "m", 3, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, 0, now);
   orders_check (st->orders, now);
   g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
@@ -751,7 +751,7 @@
   st->row_version = 5;
   lease_add_announcement (&st->row, &two);
   lease_add_announcement (&st->row, &three);
-  fleet_take_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, now - 11 * CQ_US_PER_S, now);
   g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   orders_check (st->orders, now);
   g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
@@ -774,10 +774,10 @@
 
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 1, now - 90 * CQ_US_PER_S, now);
   for (i = 1; i <= LEASE_ANNOUNCEMENTS_MAX; i++)
-    fleet_take_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
+    fleet_apply_wanted (&st->fleet, "n", i, now - (80 - i) * CQ_US_PER_S, now);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 100 * MS, now);
   orders_check (st->orders, now);
   wait_until (st, is_released);
   for (i = 0; i < st->row.nannouncements; i++)
@@ -802,7 +802,7 @@
   st->row = row ("other/1", store_ms (st) - 1);
   st->row_version = 5;
   lease_add_announcement (&st->row, &late);
-  fleet_take_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
+  fleet_apply_wanted (&st->fleet, "m", 2, now - 10100 * MS, now - 10000 * MS);
   orders_check (st->orders, now);
   wait_until (st, is_released);
   g_assert_cmpint (earliest_announcement_us (st), <=, now - 10000 * MS);
@@ -827,7 +827,7 @@
 
   st->row = row ("other/1", store_ms (st) + 60000);
   st->row_version = 5;
-  fleet_take_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
+  fleet_apply_wanted (&st->fleet, "m", 2, 0, now - 20 * CQ_US_PER_S);
   orders_check (st->orders, now);
   g_assert_false (accepts_outdated (st, 9 * CQ_US_PER_S));
   stage_free (st);
@@ -899,7 +899,7 @@
     {
       g_snprintf (l.id, sizeof l.id, "e%d", i);
       g_strlcpy (l.model, "m", sizeof l.model);
-      fleet_take_listing (&st->fleet, &l, 1);
+      fleet_apply_listing (&st->fleet, &l, 1);
     }
   st->lose_orders = true;
   st->each_busy = true;
@@ -1023,7 +1023,7 @@
   st->hold_busy = true;
   announce_version (st);
   wait_until (st, is_busy);
-  fleet_take_wanted (&st->fleet, "m", 3, loop_now_us (), loop_now_us ());
+  fleet_apply_wanted (&st->fleet, "m", 3, loop_now_us (), loop_now_us ());
   st->busy = false;
   st->version = 2;
   st->hold_busy = false;
@@ -1094,15 +1094,15 @@
   lease_add_announcement (&st->row, &two);
   lease_add_announcement (&st->row, &three);
   st->row_version = 7;
-  fleet_take_wanted (&st->fleet, "m", 3, 0, now);
+  fleet_apply_wanted (&st->fleet, "m", 3, 0, now);
   orders_check (st->orders, now);
   g_assert_true (
-      fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
+      fleet_is_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
   /* An endpoint with version 2 is outdated since 3 was announced. */
-  fleet_take_version (APR_RING_FIRST (&st->fleet.endpoints), 2, FLEET_NEVER,
-                      loop_now_us ());
+  fleet_apply_version (APR_RING_FIRST (&st->fleet.endpoints), 2, FLEET_NEVER,
+                       loop_now_us ());
   g_assert_false (
-      fleet_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
+      fleet_is_outdated_for (&st->fleet, e, 9 * CQ_US_PER_S, loop_now_us ()));
   stage_free (st);
 }
 
@@ -1132,10 +1132,10 @@
   wait_until (running, is_later);
   started->row = running->row;
   started->row_version = running->row_version;
-  fleet_take_wanted (&started->fleet, "m", 2, 0, loop_now_us ());
+  fleet_apply_wanted (&started->fleet, "m", 2, 0, loop_now_us ());
   orders_check (started->orders, loop_now_us ());
   now = loop_now_us ();
-  g_assert_true (fleet_outdated_for (
+  g_assert_true (fleet_is_outdated_for (
       &started->fleet, APR_RING_FIRST (&started->fleet.endpoints),
       now - announced_us, now));
   stage_free (started);
@@ -1149,23 +1149,24 @@
   struct stage *st = stage_new ();
   const struct fleet_endpoint *e = g_hash_table_lookup (st->fleet.by_id, "e");
 
-  st->in_report = (struct notice){ .limit_said = true, .limit_milli = 5000 };
+  st->in_report
+      = (struct notice){ .has_limit = true, .limit_milli_rps = 5000 };
   announce_version (st);
   wait_until (st, was_sent);
-  g_assert_true (e->limit.named);
-  g_assert_cmpint (e->limit.milli, ==, 5000);
+  g_assert_true (e->limit.active);
+  g_assert_cmpint (e->limit.milli_rps, ==, 5000);
   stage_free (st);
 
   st = stage_new ();
   e = g_hash_table_lookup (st->fleet.by_id, "e");
-  st->in_order = (struct notice){ .limit_said = true, .limit_milli = 4000 };
+  st->in_order = (struct notice){ .has_limit = true, .limit_milli_rps = 4000 };
   announce_version (st);
   wait_until (st, was_sent);
-  g_assert_true (e->limit.named);
+  g_assert_true (e->limit.active);
   /* A report need not repeat a notice that is in force. */
   wait_until (st, is_released);
-  g_assert_cmpint (e->limit.milli, ==, 4000);
-  g_assert_true (e->limit.named);
+  g_assert_cmpint (e->limit.milli_rps, ==, 4000);
+  g_assert_true (e->limit.active);
   stage_free (st);
 }
 
--- a/regress/test-relay.c
+++ b/regress/test-relay.c
@@ -22,7 +22,7 @@
 
   harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
-  p->fleet.fresh_us -= HARNESS_KEY_MAX_AGE_US + 1;
+  p->fleet.conf_current_us -= HARNESS_KEY_MAX_AGE_US + 1;
   g_assert_false (p->event->before_send (p->arg));
   harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -38,7 +38,7 @@
   struct harness *p = harness_new (FLEET_IDEMPOTENT);
 
   harness_start (p);
-  fleet_take_conf (&p->fleet, harness_conf (2, FLEET_IDEMPOTENT, "other"), 2);
+  fleet_apply_conf (&p->fleet, harness_conf (2, FLEET_IDEMPOTENT, "other"), 2);
   g_assert_false (p->event->before_send (p->arg));
   harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
@@ -55,7 +55,7 @@
   p->desc.key = "new";
   harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_BAD_KEY);
-  p->fleet.fresh_us -= HARNESS_KEY_MAX_AGE_US + 1;
+  p->fleet.conf_current_us -= HARNESS_KEY_MAX_AGE_US + 1;
   harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->sends, ==, 0);
@@ -74,11 +74,11 @@
   int64_t now = loop_now_us ();
   int sends = p->sends;
 
-  p->fleet.fresh_us = now - HARNESS_DENIAL_MAX_AGE_US + 1;
+  p->fleet.conf_current_us = now - HARNESS_DENIAL_MAX_AGE_US + 1;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, why);
   g_assert_cmpint (p->retry_after_us, ==, 0);
-  p->fleet.fresh_us = now - HARNESS_DENIAL_MAX_AGE_US;
+  p->fleet.conf_current_us = now - HARNESS_DENIAL_MAX_AGE_US;
   g_assert_null (relay_start (p->relays, &p->desc, now));
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
@@ -117,7 +117,7 @@
 
   relay_refuse_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_TOO_LARGE);
-  p->fleet.fresh_us = 0;
+  p->fleet.conf_current_us = 0;
   relay_refuse_too_large (p->relays, &p->desc, now);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   harness_free (p);
@@ -133,7 +133,7 @@
 static void
 test_once (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
@@ -147,7 +147,7 @@
 static void
 test_once_unreached (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
   harness_end (p, false, false);
@@ -162,7 +162,7 @@
 static void
 test_refused_by_all (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 503, .not_run = true, .running = -1 };
   int i;
 
@@ -187,7 +187,7 @@
 static void
 test_other_incarnation (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
 
   h.lines = harness_seal;
@@ -205,7 +205,7 @@
 static void
 test_attempts_bounded (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   char id[] = "c";
   int i;
@@ -257,7 +257,7 @@
 static void
 test_other_version (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
@@ -402,8 +402,8 @@
           harness_end (p, true, false);
         }
       p->refused = -1;
-      pick_worked (APR_RING_FIRST (&p->fleet.endpoints));
-      pick_worked (APR_RING_LAST (&p->fleet.endpoints));
+      pick_request_succeeded (APR_RING_FIRST (&p->fleet.endpoints));
+      pick_request_succeeded (APR_RING_LAST (&p->fleet.endpoints));
     }
   /* Twenty requests, a burst of four retries, and a tenth of the requests. */
   g_assert_cmpint (p->sends, >=, 24);
@@ -460,10 +460,10 @@
   struct harness *p = harness_new (FLEET_STREAM);
   int64_t now = loop_now_us ();
 
-  p->fleet.old_max_us = 9 * CQ_US_PER_S;
-  p->fleet.old_end_us = 12 * CQ_US_PER_S;
-  fleet_take_wanted (&p->fleet, "m", 4, now - 8 * CQ_US_PER_S,
-                     now - 8 * CQ_US_PER_S);
+  p->fleet.outdated_accept_us = 9 * CQ_US_PER_S;
+  p->fleet.outdated_start_us = 12 * CQ_US_PER_S;
+  fleet_apply_wanted (&p->fleet, "m", 4, now - 8 * CQ_US_PER_S,
+                      now - 8 * CQ_US_PER_S);
   harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->left_us, >, 0);
@@ -502,8 +502,8 @@
     {
       APR_RING_FOREACH (e, &p->fleet.endpoints, fleet_endpoint, link)
       {
-        e->first.smoothed_us = wait_us;
-        e->first.seen_us = now - silent_us;
+        e->first_chunk.smoothed_us = wait_us;
+        e->first_chunk.updated_us = now - silent_us;
       }
       p->sends = 0;
       p->refused = -1;
@@ -640,15 +640,15 @@
   int64_t now = loop_now_us ();
 
   /* Callers wait long enough for a second attempt. */
-  harness_route (p)->target_us = 10 * CQ_US_PER_S;
-  p->fleet.old_max_us = 100000;
-  p->fleet.old_end_us = 300000;
+  harness_route (p)->target_latency_us = 10 * CQ_US_PER_S;
+  p->fleet.outdated_accept_us = 100000;
+  p->fleet.outdated_start_us = 300000;
   b->draining = true;
-  fleet_take_wanted (&p->fleet, "m", 4, now, now);
+  fleet_apply_wanted (&p->fleet, "m", 4, now, now);
   harness_start (p);
-  g_assert_cmpstr (p->to[0], ==, a->is.id);
+  g_assert_cmpstr (p->to[0], ==, a->listing.id);
   b->draining = false;
-  fleet_take_version (b, 4, FLEET_NEVER, loop_now_us ());
+  fleet_apply_version (b, 4, FLEET_NEVER, loop_now_us ());
 }
 
 /*
@@ -738,7 +738,7 @@
 static void
 test_running_on_old_weights (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   outdate (p);
   g_assert_true (p->event->before_send (p->arg));
@@ -774,10 +774,10 @@
 restart_endpoint (struct harness *p, const char *id, int64_t born_ms)
 {
   struct fleet_endpoint *e = g_hash_table_lookup (p->fleet.by_id, id);
-  struct fleet_listing l = e->is;
+  struct fleet_listing l = e->listing;
 
-  l.born_ms = born_ms;
-  return fleet_take_listing (&p->fleet, &l, loop_now_us ());
+  l.started_ms = born_ms;
+  return fleet_apply_listing (&p->fleet, &l, loop_now_us ());
 }
 
 /*
@@ -787,7 +787,7 @@
 static void
 test_restart_before_send (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
   restart_endpoint (p, p->to[0], 1000);
@@ -808,7 +808,7 @@
 static void
 test_restart_after_send (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
 
   harness_start (p);
@@ -853,7 +853,7 @@
 static void
 test_unknown_weights (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct relay_head h = { .status = 421, .not_run = true, .running = -1 };
   struct fleet_endpoint *e;
 
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -37,7 +37,7 @@
 test_refused (void)
 {
   static const enum fleet_kind kinds[]
-      = { FLEET_IDEMPOTENT, FLEET_ONCE, FLEET_STREAM };
+      = { FLEET_IDEMPOTENT, FLEET_AT_MOST_ONCE, FLEET_STREAM };
   struct harness *p;
   size_t i;
 
@@ -59,7 +59,7 @@
 static void
 test_digest_by_workspace (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   add_refusal_evidence (p, "other");
   harness_start (p);
@@ -74,7 +74,7 @@
 static void
 test_refused_before_send (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
   add_refusal_evidence (p, "ws");
@@ -136,7 +136,7 @@
 static void
 test_suspect_before_send (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   p->relays->opts.may_run_suspect = may_run_suspect;
   harness_start (p);
@@ -152,7 +152,7 @@
 static void
 test_suspect_answered (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   p->relays->opts.may_run_suspect = may_run_suspect;
   p->turn = true;
@@ -171,7 +171,7 @@
 static void
 test_evidence_unknown (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   p->evidence_known = false;
   harness_start (p);
@@ -215,7 +215,7 @@
 
   for (i = 0; i < G_N_ELEMENTS (probes); i++)
     {
-      p = harness_new (FLEET_ONCE);
+      p = harness_new (FLEET_AT_MOST_ONCE);
       g_assert_true (break_off (p, probes[i])
                      == (probes[i] == RELAY_PROBE_CRASHED));
       g_assert_cmpint (p->probes, ==, 1);
@@ -232,7 +232,7 @@
 static void
 test_probed_again (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   g_assert_false (break_off (p, RELAY_PROBE_SILENT));
   harness_run (p, 150 * CQ_US_PER_MS);
@@ -246,7 +246,7 @@
 static void
 test_draining_not_probed (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
 
   harness_start (p);
@@ -263,7 +263,7 @@
 static void
 test_probe_interval (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int i;
 
@@ -278,7 +278,7 @@
 static void
 test_no_evidence_no_digest (void)
 {
-  struct harness *p = harness_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
--- a/relay.c
+++ b/relay.c
@@ -60,7 +60,7 @@
     {
     case FLEET_IDEMPOTENT:
       return true;
-    case FLEET_ONCE:
+    case FLEET_AT_MOST_ONCE:
       return false;
     case FLEET_STREAM:
       return r->route->resumable;
@@ -79,7 +79,7 @@
   const struct relays_opts *o = &r->rs->opts;
 
   return !r->route->anonymous
-         && fleet_age_us (o->fleet, now_us) > o->key_max_age_us;
+         && fleet_conf_age_us (o->fleet, now_us) > o->key_max_age_us;
 }
 
 bool
@@ -114,7 +114,7 @@
   if (r->endpoint == NULL)
     return;
   relay_prefill_done (r, now_us);
-  pick_ended (r->endpoint);
+  pick_request_ended (r->endpoint);
   fleet_endpoint_unref (r->endpoint);
   r->endpoint = NULL;
   relay_notify_work (r, now_us);
@@ -214,7 +214,7 @@
              " conf_age_us=%" G_GINT64_FORMAT,
              d->id, d->host, outcome, reason,
              (gint64)(f->conf != NULL ? f->conf->version : 0),
-             (gint64)fleet_age_us (f, now_us));
+             (gint64)fleet_conf_age_us (f, now_us));
 }
 
 /* Refuse a request before it is started. */
@@ -244,7 +244,7 @@
 deny (struct relays *rs, const struct relay_desc *d, enum relay_refusal why,
       const char *reason, int64_t now_us)
 {
-  if (fleet_age_us (rs->opts.fleet, now_us) < rs->opts.denial_max_age_us)
+  if (fleet_conf_age_us (rs->opts.fleet, now_us) < rs->opts.denial_max_age_us)
     refuse_early (rs, d, why, reason, now_us);
   else
     refuse_early (rs, d, RELAY_NOT_RUN, "settings_behind", now_us);
@@ -265,7 +265,7 @@
                 const struct fleet_workspace **workspace, int64_t now_us)
 {
   const struct fleet *f = rs->opts.fleet;
-  bool stale = fleet_age_us (f, now_us) > rs->opts.key_max_age_us;
+  bool stale = fleet_conf_age_us (f, now_us) > rs->opts.key_max_age_us;
 
   *workspace = NULL;
   if (d->key != NULL)
@@ -290,7 +290,7 @@
   r->desc = *d;
   r->conf = fleet_conf_ref (rs->opts.fleet->conf);
   r->route = route;
-  r->service = fleet_split_pick (route, digest);
+  r->service = fleet_split_select (route, digest);
   r->service_state = get_or_add_service (rs, r->service);
   r->arrived_us = now_us;
   r->deadline_us = now_us + route->timeout_us;
--- a/relayadmit.c
+++ b/relayadmit.c
@@ -92,7 +92,7 @@
              " running=%d waiting=%d endpoint=%s",
              r->service, s->limited ? "limited" : "open", keep,
              (gint64)s->admit.pressure, r->reported_running,
-             r->reported_waiting, r->endpoint->is.id);
+             r->reported_waiting, r->endpoint->listing.id);
 }
 
 void
@@ -102,8 +102,8 @@
       = { .running = r->reported_running, .waiting = r->reported_waiting };
 
   seen.wait_us = now_us - r->sent_us;
-  seen.target_us = r->route->target_us;
-  pick_first (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
+  seen.target_us = r->route->target_latency_us;
+  pick_first_chunk (r->rs->opts.fleet, r->endpoint, seen.wait_us, now_us);
   /* A caller that hangs up before the target latency does so for reasons of
      its own. */
   if (r->first_chunk_us == 0 && seen.wait_us < seen.target_us)
@@ -121,10 +121,10 @@
 {
   int64_t p = PATIENCE_MIN_US;
 
-  if (r->route->target_us * PATIENCE_TARGETS > p)
-    p = r->route->target_us * PATIENCE_TARGETS;
-  if (r->route->gap_us * PATIENCE_GAPS > p)
-    p = r->route->gap_us * PATIENCE_GAPS;
+  if (r->route->target_latency_us * PATIENCE_TARGETS > p)
+    p = r->route->target_latency_us * PATIENCE_TARGETS;
+  if (r->route->event_gap_us * PATIENCE_GAPS > p)
+    p = r->route->event_gap_us * PATIENCE_GAPS;
   return p;
 }
 
@@ -175,7 +175,7 @@
              "req=%s route=%s endpoint=%s workspace=%s rank=%d keep=%d "
              "admit=%d pressure=%" G_GINT64_FORMAT " wait_us=%" G_GINT64_FORMAT
              " left_us=%" G_GINT64_FORMAT " candidates=%d over_bound=%d",
-             r->desc.id, r->route->name, c->endpoint->is.id,
+             r->desc.id, r->route->name, c->endpoint->listing.id,
              relay_workspace (r), r->rank, keep, admit_permille (a, now_us),
              (gint64)a->pressure,
              (gint64)(now_us - r->arrived_us + c->wait_us),
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -90,9 +90,9 @@
 static void
 apply_notice (struct suspect *s, const struct notice *notice, int64_t now_us)
 {
-  struct notice_from from = { .source = "probe", .sent_us = s->probed_us };
+  struct notice_origin from = { .source = "probe", .sent_us = s->probed_us };
 
-  notice_take (s->endpoint, notice, &from, now_us);
+  notice_apply (s->endpoint, notice, &from, now_us);
 }
 
 static void
@@ -110,7 +110,7 @@
   s->probing = false;
   log_event (LOG_LEVEL_INFO, "endpoint_broke",
              "endpoint=%s outcome=%s requests=%d since_us=%" G_GINT64_FORMAT,
-             s->endpoint->is.id, names[probe], s->n,
+             s->endpoint->listing.id, names[probe], s->n,
              (gint64)(now - s->broke_us));
   if (s->owner->closed)
     {
@@ -212,7 +212,7 @@
   struct broken *b;
   struct suspect *s;
 
-  if (e->draining || e->gone)
+  if (e->draining || e->removed)
     return;
   s = get_or_add (owner, e);
   if (s == NULL)
--- a/relaytry.c
+++ b/relaytry.c
@@ -63,8 +63,8 @@
 is_outdated (const struct relay *r, int64_t limit_us, int64_t now_us)
 {
   return limit_us > 0
-         && fleet_outdated_for (r->rs->opts.fleet, r->endpoint, limit_us,
-                                now_us);
+         && fleet_is_outdated_for (r->rs->opts.fleet, r->endpoint, limit_us,
+                                   now_us);
 }
 
 /*
@@ -113,11 +113,11 @@
     r->stop_reason = "key_revoked";
   else if (now >= r->deadline_us)
     r->stop_reason = "deadline";
-  else if (r->endpoint->draining || r->endpoint->gone)
+  else if (r->endpoint->draining || r->endpoint->removed)
     r->stop_reason = STOP_ENDPOINT_LEFT;
-  else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->is.domain))
+  else if (fleet_is_evacuated (r->rs->opts.fleet, r->endpoint->listing.domain))
     r->stop_reason = STOP_DOMAIN_EVACUATED;
-  else if (is_outdated (r, r->rs->opts.fleet->old_max_us, now))
+  else if (is_outdated (r, r->rs->opts.fleet->outdated_accept_us, now))
     r->stop_reason = STOP_WEIGHTS_OUTDATED;
   else if (drop_disconnected_caller (r))
     r->stop_reason = "caller_gone";
@@ -126,7 +126,7 @@
     r->stop_reason = STOP_ENDPOINT_COLD;
   else if (!limit_may_send (&r->endpoint->limit, now))
     r->stop_reason = STOP_ENDPOINT_LIMITED;
-  else if (pick_rests (r->endpoint, now))
+  else if (pick_is_backoff_requested (r->endpoint, now))
     r->stop_reason = STOP_ENDPOINT_BACKOFF;
   else
     recheck_quarantine (r, now);
@@ -156,7 +156,7 @@
   if (head->other_incarnation || !(head->genuine || head->not_run))
     return;
   if (head->version > 0)
-    fleet_take_version (r->endpoint, head->version, r->sent_us, now_us);
+    fleet_apply_version (r->endpoint, head->version, r->sent_us, now_us);
   else if (head->other_weights && r->sent_us > r->endpoint->version_us)
     fleet_doubt_version (r->endpoint);
 }
@@ -169,12 +169,12 @@
 static void
 apply_notice (struct relay *r, const struct relay_head *head, int64_t now_us)
 {
-  struct notice_from from = { .source = "answer", .sent_us = r->sent_us };
+  struct notice_origin from = { .source = "answer", .sent_us = r->sent_us };
 
   if (head->other_incarnation)
     return;
-  from.whole = head->genuine && !head->not_run;
-  notice_take (r->endpoint, &head->notice, &from, now_us);
+  from.has_all_notices = head->genuine && !head->not_run;
+  notice_apply (r->endpoint, &head->notice, &from, now_us);
 }
 
 static bool
@@ -188,7 +188,7 @@
   r->reported_running = head->running;
   r->reported_waiting = head->waiting;
   if (head->running >= 0)
-    pick_reported (r->endpoint, head->running + head->waiting, now);
+    pick_load_reported (r->endpoint, head->running + head->waiting, now);
   apply_version (r, head, now);
   apply_notice (r, head, now);
   /* That incarnation has ended, so the attempt reached no endpoint of the
@@ -221,10 +221,11 @@
     {
       r->stream_begun = true;
       r->first_chunk_us = loop_now_us ();
-      pick_learn (r->rs->opts.fleet, r->endpoint,
-                  r->pending_prefill_tokens + r->shared_pending_prefill_tokens
-                      + r->work.own,
-                  r->first_chunk_us - r->sent_us);
+      pick_learn_prefill_rate (r->rs->opts.fleet, r->endpoint,
+                               r->pending_prefill_tokens
+                                   + r->shared_pending_prefill_tokens
+                                   + r->work.own_tokens,
+                               r->first_chunk_us - r->sent_us);
       met_observe (MET_FIRST_TOKEN, r->first_chunk_us - r->arrived_us);
       relay_record_wait (r, r->first_chunk_us);
       r->desc.caller->begin (r->desc.arg, r->status,
@@ -353,14 +354,14 @@
   struct fleet_endpoint *e = r->endpoint;
 
   if (sent == SEND_COMPLETE)
-    pick_worked (e);
+    pick_request_succeeded (e);
   else if (sent == SEND_REFUSED)
-    pick_refused (e, now_us);
+    pick_overload_refused (e, now_us);
   else if (r->connection_refused)
-    pick_absent (e, now_us);
+    pick_connection_refused (e, now_us);
   else if (r->stop_reason == NULL
            || strcmp (r->stop_reason, "not_genuine") == 0)
-    pick_failed (e, now_us);
+    pick_request_failed (e, now_us);
 }
 
 static void
@@ -392,8 +393,8 @@
   log_event (LOG_LEVEL_INFO, "attempt_end",
              "req=%s endpoint=%s attempt=%d sent=%s status=%d next=%s "
              "reason=%s took_us=%" G_GINT64_FORMAT " digest=%s error=\"%s\"",
-             r->desc.id, r->endpoint->is.id, r->attempts, out_send_name (sent),
-             r->status, out_next_name (v->next), reason,
+             r->desc.id, r->endpoint->listing.id, r->attempts,
+             out_send_name (sent), r->status, out_next_name (v->next), reason,
              (gint64)(now_us - r->sent_us), text, error);
 }
 
@@ -462,17 +463,18 @@
 {
   bool isolated = r->workspace != NULL && r->workspace->isolated;
 
-  parts_scope_name (r->cache_scope, c->endpoint->is.model, c->version,
+  parts_scope_name (r->cache_scope, c->endpoint->listing.model, c->version,
                     isolated ? r->workspace->name : NULL);
 }
 
-static struct fleet_homes
+static struct fleet_region_limits
 region_limits_of (const struct relay *r)
 {
-  struct fleet_homes h = { .route = (const char *const *)r->route->homes };
+  struct fleet_region_limits h
+      = { .route = (const char *const *)r->route->allowed_regions };
 
   if (r->workspace != NULL)
-    h.workspace = (const char *const *)r->workspace->homes;
+    h.workspace = (const char *const *)r->workspace->allowed_regions;
   return h;
 }
 
@@ -489,10 +491,11 @@
   if (o->parts == NULL || !r->route->sticky)
     return;
   q.nparts = r->desc.nparts;
-  q.domain = c->endpoint->is.domain;
-  q.weights_fresh_us = o->fleet->fresh_us;
+  q.domain = c->endpoint->listing.domain;
+  q.weights_fresh_us = o->fleet->conf_current_us;
   q.outdated = newer != NULL;
-  q.outdated_since_us = MAX (fleet_outdated_since (o->fleet, c->endpoint), 0);
+  q.outdated_since_us
+      = MAX (fleet_earliest_outdated_us (o->fleet, c->endpoint), 0);
   q.wait_us = c->wait_us;
   q.fleet = o->fleet;
   q.homes = region_limits_of (r);
@@ -505,7 +508,7 @@
 newer_named_for_us (const struct fleet *f, const struct fleet_endpoint *e,
                     int64_t now_us)
 {
-  int64_t since = fleet_outdated_since (f, e);
+  int64_t since = fleet_earliest_outdated_us (f, e);
 
   if (fleet_outdated_by (f, e) == NULL)
     return 0;
@@ -523,32 +526,32 @@
 attempt_timeout_us (const struct relay *r, int64_t now_us)
 {
   const struct fleet *f = r->rs->opts.fleet;
-  int64_t since = fleet_outdated_since (f, r->endpoint);
+  int64_t since = fleet_earliest_outdated_us (f, r->endpoint);
   int64_t left = r->deadline_us - now_us;
 
-  if (f->old_end_us == 0 || r->route->kind != FLEET_STREAM
+  if (f->outdated_start_us == 0 || r->route->kind != FLEET_STREAM
       || fleet_outdated_by (f, r->endpoint) == NULL || since == FLEET_NEVER)
     return left;
-  return MIN (left, since + f->old_end_us - now_us);
+  return MIN (left, since + f->outdated_start_us - now_us);
 }
 
 static void
 send_attempt (struct relay *r, const struct pick_choice *c, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
-  bool model = c->endpoint->is.model[0] != '\0';
+  bool model = c->endpoint->listing.model[0] != '\0';
   const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
   struct relay_attempt s = { .desc = &r->desc, .endpoint = c->endpoint };
 
   r->endpoint = fleet_endpoint_ref (c->endpoint);
-  pick_sent (r->endpoint);
+  pick_request_sent (r->endpoint);
   if (cold_is (&r->endpoint->cold, now_us))
-    pace_place (&r->endpoint->cold.pace, now_us);
-  pace_place (&r->endpoint->limit.pace, now_us);
+    pace_placed (&r->endpoint->cold.pace, now_us);
+  pace_placed (&r->endpoint->limit.pace, now_us);
   r->is_prefilling = true;
-  r->pending_prefill_tokens = c->ahead;
+  r->pending_prefill_tokens = c->pending_prefill_tokens;
   r->shared_pending_prefill_tokens
-      = c->has_part ? 0 : r->work.shared - r->work.stored;
+      = c->has_part ? 0 : r->work.shared_tokens - r->work.stored_tokens;
   r->handed_over = false;
   r->stop_reason = NULL;
   r->status = 0;
@@ -586,14 +589,15 @@
       " newer_us=%" G_GINT64_FORMAT " limit_milli=%" G_GINT64_FORMAT
       " left_us=%" G_GINT64_FORMAT " conf=%" G_GINT64_FORMAT
       " conf_age_us=%" G_GINT64_FORMAT,
-      r->desc.id, r->route->name, c->endpoint->is.id, c->load, c->candidates,
-      c->over_bound, (gint64)c->ahead, (gint64)c->held, (gint64)c->wait_us,
-      r->plan.nfetch, r->plan.nsave, (gint64)r->plan.fetch_tokens,
-      (gint64)s.version, (gint64)(newer != NULL ? newer->version : 0),
+      r->desc.id, r->route->name, c->endpoint->listing.id, c->load,
+      c->candidates, c->over_bound, (gint64)c->pending_prefill_tokens,
+      (gint64)c->kv_tokens, (gint64)c->wait_us, r->plan.nfetch, r->plan.nsave,
+      (gint64)r->plan.fetch_tokens, (gint64)s.version,
+      (gint64)(newer != NULL ? newer->version : 0),
       (gint64)newer_named_for_us (o->fleet, c->endpoint, now_us),
-      (gint64)(r->endpoint->limit.named ? r->endpoint->limit.milli : -1),
+      (gint64)(r->endpoint->limit.active ? r->endpoint->limit.milli_rps : -1),
       (gint64)s.timeout_us, (gint64)r->conf->version,
-      (gint64)fleet_age_us (o->fleet, now_us));
+      (gint64)fleet_conf_age_us (o->fleet, now_us));
   relay_notify_work (r, now_us);
   r->call = o->engine.send (o->engine.ctx, &s, &events, r);
 }
@@ -633,11 +637,11 @@
     met_add (MET_COLD, 1);
   else if (code == PICK_LIMITED)
     met_add (MET_LIMITED, 1);
-  else if (code == PICK_RESTING)
+  else if (code == PICK_BACKOFF)
     met_add (MET_RESTING, 1);
   else if (code == PICK_EVACUATED)
     met_add (MET_EVACUATED, 1);
-  else if (code == PICK_ABROAD)
+  else if (code == PICK_REGION_NOT_ALLOWED)
     met_add (MET_ABROAD, 1);
 }
 
@@ -672,7 +676,7 @@
   relay_estimate_work (r, now_us);
   q.work = r->work;
   q.loads = o->loads;
-  fleet_judge_rates (o->fleet, now_us);
+  fleet_refresh_rate_shares (o->fleet, now_us);
   c = pick_endpoint (o->fleet, &q, now_us);
   if (c.code == PICK_CHOSEN && is_refused_for_load (r, &c, now_us))
     refuse_overload (r, now_us);
@@ -682,7 +686,7 @@
     {
       count_unplaced_reason (c.code);
       give_up_unplaced (r, pick_code_name (c.code),
-                        MAX (c.rest_us, RETRY_AFTER_FAILURE_US), now_us);
+                        MAX (c.backoff_us, RETRY_AFTER_FAILURE_US), now_us);
     }
 }
 
@@ -717,7 +721,7 @@
 relay_waits_too_long (const struct relay *r, int64_t now_us)
 {
   return r->call != NULL && !r->has_body && r->route->kind == FLEET_STREAM
-         && is_outdated (r, r->rs->opts.fleet->old_end_us, now_us);
+         && is_outdated (r, r->rs->opts.fleet->outdated_start_us, now_us);
 }
 
 void
--- a/relaywork.c
+++ b/relaywork.c
@@ -48,18 +48,19 @@
   if (sv == NULL || sv->model == NULL || r->desc.nparts == 0)
     return;
   for (i = 0; i < r->desc.nparts - 1; i++)
-    r->work.shared += r->desc.parts[i].tokens;
-  r->work.own = r->desc.parts[i].tokens;
+    r->work.shared_tokens += r->desc.parts[i].tokens;
+  r->work.own_tokens = r->desc.parts[i].tokens;
   r->work.part = part_digest (r, isolated);
-  r->is_long_prompt = (r->work.shared + r->work.own) * LONG_PROMPT_DIVISOR
-                      > sv->memory_tokens;
+  r->is_long_prompt
+      = (r->work.shared_tokens + r->work.own_tokens) * LONG_PROMPT_DIVISOR
+        > sv->kv_capacity_tokens;
   if (o->parts == NULL || !r->route->sticky)
     return;
   w = fleet_wanted_of (o->fleet, sv->model);
   parts_scope_name (scope, sv->model, w != NULL ? w->version : 1,
                     isolated ? r->workspace->name : NULL);
-  r->work.stored = parts_stored_tokens (o->parts, scope, r->desc.parts,
-                                        r->desc.nparts - 1, o->domain, now_us);
+  r->work.stored_tokens = parts_stored_tokens (
+      o->parts, scope, r->desc.parts, r->desc.nparts - 1, o->domain, now_us);
 }
 
 /* --- work at endpoints ----------------------------------------------- */
@@ -88,16 +89,16 @@
   struct load_entry *e;
   int i;
 
-  for (i = 0; i < w->n; i++)
+  for (i = 0; i < w->nentries; i++)
     if (w->entries[i].endpoint == r->endpoint->key
         && w->entries[i].part == r->work.part)
       return &w->entries[i];
-  if (w->n == LOAD_ENTRIES_MAX)
+  if (w->nentries == LOAD_ENTRIES_MAX)
     return NULL;
-  e = &w->entries[w->n++];
+  e = &w->entries[w->nentries++];
   *e = (struct load_entry){ .endpoint = r->endpoint->key,
                             .part = r->work.part,
-                            .shared_held = r->work.shared };
+                            .shared_kv_tokens = r->work.shared_tokens };
   return e;
 }
 
@@ -110,7 +111,7 @@
   const struct relay *r;
   struct load_entry *e;
 
-  w->n = 0;
+  w->nentries = 0;
   APR_RING_FOREACH (r, &rs->all, relay, link)
   {
     if (r->endpoint == NULL || !r->is_long_prompt)
@@ -118,11 +119,11 @@
     e = get_or_add_entry (w, r);
     if (e == NULL)
       continue;
-    e->held += r->work.own;
+    e->kv_tokens += r->work.own_tokens;
     if (!r->is_prefilling)
       continue;
-    e->unread += r->work.own;
-    e->shared_unread
-        = MAX (e->shared_unread, r->shared_pending_prefill_tokens);
+    e->pending_prefill_tokens += r->work.own_tokens;
+    e->shared_pending_prefill_tokens = MAX (e->shared_pending_prefill_tokens,
+                                            r->shared_pending_prefill_tokens);
   }
 }
