--- a/fleet.h
+++ b/fleet.h
@@ -61,7 +61,7 @@
 /* A service as the operator declared it. */
 struct fleet_service
 {
-  char *name;                  /* named by splits and endpoints */
+  char *name;                  /* referenced by splits and endpoints */
   char *model;                 /* model of its engines; NULL for a plain
                                   service */
   int64_t kv_capacity_tokens;  /* KV cache capacity of an endpoint, 0 if
@@ -215,11 +215,11 @@
   struct fleet_ewma first_chunk; /* time to the first chunk of its answers */
 };
 
-/* --- beliefs --------------------------------------------------------- */
+/* --- fleet ----------------------------------------------------------- */
 
 #define FLEET_NAMED_MAX 8 /* versions that are kept for a model */
 
-/* A weight version that was named. */
+/* A weight version that was announced. */
 struct fleet_named
 {
   int64_t version;    /* its number */
@@ -407,10 +407,11 @@
 /* Records the region of each failure domain from TEXT, entries DOMAIN=REGION
    separated by spaces; returns false at the first malformed entry. */
 bool fleet_parse_regions (struct fleet *f, const char *text);
-/* Returns whether a request with HOMES may use endpoints and stores in DOMAIN.
-   A domain without a known region is not allowed where regions are limited. */
+/* Returns whether a request with REGIONS may use endpoints and stores in
+   DOMAIN.  A domain without a known region is not allowed where regions are
+   limited. */
 bool fleet_is_region_allowed (const struct fleet *f,
-                              const struct fleet_region_limits *homes,
+                              const struct fleet_region_limits *regions,
                               const char *domain);
 /* Returns whether DOMAIN is evacuated, so that nothing may be sent there. */
 bool fleet_is_evacuated (const struct fleet *f, const char *domain);
--- a/fresh.c
+++ b/fresh.c
@@ -8,17 +8,17 @@
 #define AGE_MAX_MS (UINT64_C (2) * 24 * 3600 * 1000)
 
 void
-fresh_confirm (struct fresh *f, uint64_t said, uint64_t have, uint64_t wanted,
-               int64_t at_us)
+fresh_confirm (struct fresh *f, uint64_t reported, uint64_t have,
+               uint64_t wanted, int64_t at_us)
 {
-  if (said < have || said < wanted)
+  if (reported < have || reported < wanted)
     return;
-  if (said > have)
+  if (reported > have)
     {
-      if (said < f->pending_revision
-          || (said == f->pending_revision && at_us < f->pending_us))
+      if (reported < f->pending_revision
+          || (reported == f->pending_revision && at_us < f->pending_us))
         return;
-      f->pending_revision = said;
+      f->pending_revision = reported;
       f->pending_us = at_us;
     }
   else if (!f->is_confirmed || at_us > f->confirmed_us)
--- a/fresh.h
+++ b/fresh.h
@@ -22,12 +22,12 @@
 };
 
 /*
- * A source reports that SAID was the newest revision at AT_US; HAVE is in
+ * A source reports that REPORTED was the newest revision at AT_US; HAVE is in
  * force here, and WANTED is the highest revision that is known of.  An older
  * revision comes from a source that lags, and confirms nothing; a newer one
  * confirms once it is in force here.
  */
-void fresh_confirm (struct fresh *f, uint64_t said, uint64_t have,
+void fresh_confirm (struct fresh *f, uint64_t reported, uint64_t have,
                     uint64_t wanted, int64_t at_us);
 
 /* Revision HAVE came into force here. */
@@ -44,8 +44,8 @@
 /*
  * Sets *AT_US to when the report of another VM was current, if it was asked at
  * ASKED_US and reported an age of AGE_MS.  It reported after it was asked, so
- * this is never too late a time, however late the answer is handled.  Returns
- * false if the age is too large.
+ * this is no later than the actual time, however late the answer is handled.
+ * Returns false if the age is too large.
  */
 bool fresh_time_from_age (int64_t asked_us, uint64_t age_ms, int64_t *at_us);
 
