--- a/follow.c
+++ b/follow.c
@@ -99,7 +99,8 @@
 };
 
 #define VERSION_TIMES_MAX                                                     \
-  16 /* some ten seconds of replies from both sources */
+  16 /* some ten seconds of replies of both sources                           \
+      */
 
 /* A time at which CHANGE was still the platform's newest change. */
 struct version_time
@@ -114,8 +115,8 @@
   struct stream streams[FOLLOW_SOURCES]; /* by source */
   GRand *rand;                           /* for pauses */
   struct version_time
-      version_times[VERSION_TIMES_MAX]; /* the newest ones, oldest first */
-  int nversion_times;                   /* entries in version_times */
+      times[VERSION_TIMES_MAX]; /* the newest ones, oldest first */
+  int ntimes;                   /* entries in times */
   int64_t era; /* newest era seen of the platform's store; 0: not given */
   int64_t clock_offset_us; /* local minus platform clock, lower bound */
   bool clock_known;        /* clock_offset_us is set */
@@ -153,13 +154,11 @@
   struct version_time m = { change, at_us };
 
   /* A reply that was overtaken by a newer one proves less than that one. */
-  if (f->nversion_times > 0
-      && change < f->version_times[f->nversion_times - 1].change)
+  if (f->ntimes > 0 && change < f->times[f->ntimes - 1].change)
     return;
-  if (f->nversion_times == VERSION_TIMES_MAX)
-    memmove (f->version_times, f->version_times + 1,
-             sizeof m * (size_t)--f->nversion_times);
-  f->version_times[f->nversion_times++] = m;
+  if (f->ntimes == VERSION_TIMES_MAX)
+    memmove (f->times, f->times + 1, sizeof m * (size_t)--f->ntimes);
+  f->times[f->ntimes++] = m;
 }
 
 /* Time before which CHANGE had not been made; 0 if that is not known. */
@@ -169,9 +168,8 @@
   int64_t at = 0;
   int i;
 
-  for (i = 0; i < f->nversion_times && f->version_times[i].change < change;
-       i++)
-    at = MAX (at, f->version_times[i].at_us);
+  for (i = 0; i < f->ntimes && f->times[i].change < change; i++)
+    at = MAX (at, f->times[i].at_us);
   return at;
 }
 
@@ -479,7 +477,7 @@
                  " before=%" G_GINT64_FORMAT,
                  (gint64)era, (gint64)f->era);
       met_add (MET_OLDER_COPIES, 1);
-      f->nversion_times = 0;
+      f->ntimes = 0;
       f->opts.fleet->conf_row = 0;
       fleet_list_back (f->opts.fleet, now_us);
       for (i = 0; i < FOLLOW_SOURCES; i++)
--- a/follow.h
+++ b/follow.h
@@ -59,7 +59,7 @@
 
 struct follow_reply
 {
-  enum follow_status status; /* the fields below are valid if FOLLOW_OK */
+  enum follow_status status; /* outcome of the call */
   int64_t era; /* of the platform's store, 0 if not given; grows each time the
                   store is restored from an older copy */
   int64_t version;  /* version to poll for changes after, in that era */
--- a/partfeed.h
+++ b/partfeed.h
@@ -25,7 +25,7 @@
 
 struct partfeed_reply
 {
-  enum partfeed_status status; /* the fields below are valid if PARTFEED_OK */
+  enum partfeed_status status; /* outcome of the call */
   bool events_lost; /* events before the first one below were lost */
   int64_t epoch;    /* the store's incarnation */
   int64_t born_ms;  /* start of that incarnation, Unix time; 0 if not given */
