--- a/follow.c
+++ b/follow.c
@@ -98,9 +98,8 @@
   bool busy;                  /* a call is in progress */
 };
 
-#define VERSION_TIMES_MAX                                                     \
-  16 /* some ten seconds of replies of both sources                           \
-      */
+/* Some ten seconds of replies from both sources. */
+#define VERSION_TIMES_MAX 16
 
 /* A time at which CHANGE was still the platform's newest change. */
 struct version_time
@@ -114,9 +113,9 @@
   struct follow_opts opts;               /* as made */
   struct stream streams[FOLLOW_SOURCES]; /* by source */
   GRand *rand;                           /* for pauses */
-  struct version_time
-      times[VERSION_TIMES_MAX]; /* the newest ones, oldest first */
-  int ntimes;                   /* entries in times */
+  /* The newest ones, oldest first. */
+  struct version_time times[VERSION_TIMES_MAX];
+  int ntimes;  /* entries in times */
   int64_t era; /* newest era seen of the platform's store; 0: not given */
   int64_t clock_offset_us; /* local minus platform clock, lower bound */
   bool clock_known;        /* clock_offset_us is set */
