--- a/orders.c
+++ b/orders.c
@@ -231,8 +231,8 @@
   g_strlcpy (w->holder, o->holder, sizeof w->holder);
   w->released = action == LEASE_RELEASE;
   w->expires_ms = w->released ? now_ms : now_ms + LEASE_MS;
-  /* With a slow store, the window must not be over when the answer comes. */
-  /* A window that was written must not be shortened: until this write is
+  /* With a slow store, the window must not be over when the answer comes.  A
+     window that was written must not be shortened: until this write is
      acknowledged, orders leave under the earlier one. */
   if (action == LEASE_EXTEND_ORDERS)
     w->order_until_ms
