--- a/announce.c
+++ b/announce.c
@@ -56,8 +56,8 @@
 
   for (n = row->announcements; n < row->announcements + row->nannouncements;
        n++)
-    fleet_add_naming_bound (f, n->model, n->version,
-                            lease_to_local_us (clock, n->since_ms));
+    fleet_add_announcement_bound (f, n->model, n->version,
+                                  lease_to_local_us (clock, n->since_ms));
 }
 
 /* An announcement that this VM has seen was not made later than that, whatever
--- a/fleet.c
+++ b/fleet.c
@@ -313,11 +313,11 @@
 static void
 add_named (struct fleet_wanted *w, int64_t version, int64_t now_us)
 {
-  struct fleet_named n = { version, now_us };
+  struct fleet_announced_version n = { version, now_us };
 
-  if (w->nnamed == FLEET_NAMED_MAX)
-    memmove (w->named, w->named + 1, sizeof n * --w->nnamed);
-  w->named[w->nnamed++] = n;
+  if (w->nannounced == FLEET_ANNOUNCED_MAX)
+    memmove (w->announced, w->announced + 1, sizeof n * --w->nannounced);
+  w->announced[w->nannounced++] = n;
   w->version = version;
 }
 
@@ -326,9 +326,9 @@
 {
   int i;
 
-  for (i = 0; i < w->nnamed; i++)
-    if (w->named[i].version >= version)
-      return w->named[i].learned_us;
+  for (i = 0; i < w->nannounced; i++)
+    if (w->announced[i].version >= version)
+      return w->announced[i].learned_us;
   return FLEET_NEVER;
 }
 
@@ -337,7 +337,7 @@
 static void
 add_bound (struct fleet_wanted *w, int64_t version, int64_t at_us)
 {
-  struct fleet_naming_bound bound = { version, at_us };
+  struct fleet_announcement_bound bound = { version, at_us };
   int64_t learned = version_learned_us (w, version);
   int i = w->nbounds;
 
@@ -351,9 +351,9 @@
       w->bounds[i - 1].at_us = MAX (w->bounds[i - 1].at_us, bound.at_us);
       return;
     }
-  if (w->nbounds == FLEET_NAMING_BOUNDS_MAX && i == 0)
+  if (w->nbounds == FLEET_BOUNDS_MAX && i == 0)
     return;
-  if (w->nbounds == FLEET_NAMING_BOUNDS_MAX)
+  if (w->nbounds == FLEET_BOUNDS_MAX)
     {
       memmove (w->bounds, w->bounds + 1, sizeof bound * (size_t)--w->nbounds);
       i--;
@@ -399,8 +399,8 @@
 }
 
 void
-fleet_add_naming_bound (struct fleet *f, const char *model, int64_t version,
-                        int64_t at_us)
+fleet_add_announcement_bound (struct fleet *f, const char *model,
+                              int64_t version, int64_t at_us)
 {
   struct fleet_wanted *w = find_wanted (f, model);
 
@@ -409,8 +409,8 @@
 }
 
 int64_t
-fleet_earliest_naming_us (const struct fleet *f, const char *model,
-                          int64_t version)
+fleet_earliest_announcement_us (const struct fleet *f, const char *model,
+                                int64_t version)
 {
   const struct fleet_wanted *w = find_wanted (f, model);
   int64_t at = FLEET_NEVER;
@@ -435,12 +435,12 @@
 fleet_earliest_outdated_us (const struct fleet *f,
                             const struct fleet_endpoint *e)
 {
-  return fleet_earliest_naming_us (f, e->listing.model, e->version + 1);
+  return fleet_earliest_announcement_us (f, e->listing.model, e->version + 1);
 }
 
 /* A second version may be announced before the first is loaded; the time of
    each counts from its own announcement. */
-const struct fleet_named *
+const struct fleet_announced_version *
 fleet_outdated_by (const struct fleet *f, const struct fleet_endpoint *e)
 {
   const struct fleet_wanted *w;
@@ -449,9 +449,9 @@
   if (e->listing.model[0] == '\0')
     return NULL;
   w = find_wanted (f, e->listing.model);
-  for (i = 0; w != NULL && i < w->nnamed; i++)
-    if (w->named[i].version > e->version)
-      return &w->named[i];
+  for (i = 0; w != NULL && i < w->nannounced; i++)
+    if (w->announced[i].version > e->version)
+      return &w->announced[i];
   return NULL;
 }
 
@@ -475,7 +475,7 @@
 fleet_outdated_learned_us (const struct fleet *f,
                            const struct fleet_endpoint *e)
 {
-  const struct fleet_named *n = fleet_outdated_by (f, e);
+  const struct fleet_announced_version *n = fleet_outdated_by (f, e);
 
   return n != NULL ? n->learned_us : 0;
 }
--- a/fleet.h
+++ b/fleet.h
@@ -217,22 +217,22 @@
 
 /* --- fleet ----------------------------------------------------------- */
 
-#define FLEET_NAMED_MAX 8 /* versions that are kept for a model */
+#define FLEET_ANNOUNCED_MAX 8 /* versions that are kept for a model */
 
 /* A weight version that was announced. */
-struct fleet_named
+struct fleet_announced_version
 {
   int64_t version;    /* its number */
   int64_t learned_us; /* when this VM learned of it */
 };
 
-#define FLEET_NAMING_BOUNDS_MAX 8 /* bounds that are kept for a model */
-#define FLEET_NEVER INT64_MIN     /* as a time: unknown */
+#define FLEET_BOUNDS_MAX 8    /* bounds that are kept for a model */
+#define FLEET_NEVER INT64_MIN /* as a time: unknown */
 
 /* A bound on announcement times: no version from VERSION on had been announced
    at AT_US.  Announced versions only increase, and one may be announced and
    replaced unnoticed, so a bound never concerns a single version. */
-struct fleet_naming_bound
+struct fleet_announcement_bound
 {
   int64_t version; /* the lowest version that the bound covers */
   int64_t at_us;   /* time at which none of them had been announced */
@@ -241,14 +241,14 @@
 /* Weight versions announced for a model, oldest first. */
 struct fleet_wanted
 {
-  char model[FLEET_NAME_SIZE];               /* model */
-  int64_t version;                           /* newest version that was
-                                                announced */
-  struct fleet_named named[FLEET_NAMED_MAX]; /* the newest versions */
-  int nnamed;                                /* entries in named */
-  struct fleet_naming_bound
-      bounds[FLEET_NAMING_BOUNDS_MAX]; /* bounds, ordered by version */
-  int nbounds;                         /* entries in bounds */
+  char model[FLEET_NAME_SIZE]; /* model */
+  int64_t version;             /* newest announced version */
+  struct fleet_announced_version
+      announced[FLEET_ANNOUNCED_MAX]; /* the newest versions */
+  int nannounced;                     /* entries in announced */
+  struct fleet_announcement_bound
+      bounds[FLEET_BOUNDS_MAX]; /* bounds, ordered by version */
+  int nbounds;                  /* entries in bounds */
 };
 
 /* Regions that a request may use.  Where both lists are given, a region must
@@ -319,11 +319,11 @@
 void fleet_confirm_wanted (struct fleet *f, int64_t at_us);
 /* Records that no version of MODEL from VERSION on was announced before
    AT_US. */
-void fleet_add_naming_bound (struct fleet *f, const char *model,
-                             int64_t version, int64_t at_us);
+void fleet_add_announcement_bound (struct fleet *f, const char *model,
+                                   int64_t version, int64_t at_us);
 /* Returns the latest such time that is known, or FLEET_NEVER. */
-int64_t fleet_earliest_naming_us (const struct fleet *f, const char *model,
-                                  int64_t version);
+int64_t fleet_earliest_announcement_us (const struct fleet *f,
+                                        const char *model, int64_t version);
 /* Returns when this VM first learned of VERSION or a newer one, or
    FLEET_NEVER. */
 int64_t fleet_version_learned_us (const struct fleet *f, const char *model,
@@ -337,8 +337,8 @@
 int64_t fleet_outdated_learned_us (const struct fleet *f,
                                    const struct fleet_endpoint *e);
 /* Returns that version, or NULL. */
-const struct fleet_named *fleet_outdated_by (const struct fleet *f,
-                                             const struct fleet_endpoint *e);
+const struct fleet_announced_version *
+fleet_outdated_by (const struct fleet *f, const struct fleet_endpoint *e);
 /* Returns whether the operator configured the service of E. */
 bool fleet_is_declared (const struct fleet *f, const struct fleet_endpoint *e);
 /* Returns whether E needs a reload: it is not draining, its service is
--- a/partfeed.c
+++ b/partfeed.c
@@ -380,9 +380,9 @@
   int64_t version = 0;
   int i;
 
-  for (i = 0; i < w->nnamed; i++)
-    if (parts_may_free (w->named[i].learned_us, now_us))
-      version = w->named[i].version;
+  for (i = 0; i < w->nannounced; i++)
+    if (parts_may_free (w->announced[i].learned_us, now_us))
+      version = w->announced[i].version;
   return version;
 }
 
--- a/regress/modelannounce.c
+++ b/regress/modelannounce.c
@@ -42,7 +42,7 @@
 check_late (const struct vm *v)
 {
   const struct fleet_endpoint *e = some_endpoint (v);
-  const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
+  const struct fleet_announced_version *n = fleet_outdated_by (&v->fleet, e);
   int64_t end = announced_us + OLD_MAX_US + SLACK_US;
 
   if (n != NULL && !fleet_is_outdated_for (&v->fleet, e, OLD_MAX_US, end))
@@ -61,7 +61,8 @@
 {
   const struct world_announcement *last
       = &world.announcements[world.nannouncements - 1];
-  int64_t since = fleet_earliest_naming_us (&v->fleet, "m", last->version);
+  int64_t since
+      = fleet_earliest_announcement_us (&v->fleet, "m", last->version);
 
   if (since > last->at_us + SLACK_US)
     model_fail ("an announcement is dated too late",
@@ -72,7 +73,7 @@
 check_early (const struct vm *v)
 {
   const struct fleet_endpoint *e = some_endpoint (v);
-  const struct fleet_named *n = fleet_outdated_by (&v->fleet, e);
+  const struct fleet_announced_version *n = fleet_outdated_by (&v->fleet, e);
   int64_t since = fleet_earliest_outdated_us (&v->fleet, e);
   int64_t soon = announced_us + OLD_MAX_US - EARLY_MAX_US;
 
@@ -116,13 +117,14 @@
 {
   struct fleet_wanted *w
       = (struct fleet_wanted *)fleet_wanted_of (&v->fleet, "m");
-  struct fleet_named *n
-      = w != NULL && w->nnamed > 0 ? &w->named[w->nnamed - 1] : NULL;
+  struct fleet_announced_version *n = w != NULL && w->nannounced > 0
+                                          ? &w->announced[w->nannounced - 1]
+                                          : NULL;
 
   if (n == NULL || n->version == 1)
     return;
   if (world_is_off (OFF_SINCE))
-    fleet_add_naming_bound (&v->fleet, "m", n->version, n->learned_us);
+    fleet_add_announcement_bound (&v->fleet, "m", n->version, n->learned_us);
   if (world_is_off (OFF_ANSWER_BOUNDS) && n->learned_us == world.now_us)
     w->nbounds = 0;
 }
--- a/regress/test-fleet.c
+++ b/regress/test-fleet.c
@@ -505,7 +505,7 @@
   g_strlcpy (l.model, "m", sizeof l.model);
   e = fleet_apply_listing (&f, &l, 1);
   fleet_apply_wanted (&f, "m", 2, 0, 1000000);
-  fleet_add_naming_bound (&f, "m", 2, -2000000);
+  fleet_add_announcement_bound (&f, "m", 2, -2000000);
   g_assert_false (fleet_is_outdated_for (&f, e, 9000000, 1100000));
   g_assert_true (fleet_is_outdated_for (&f, e, 9000000, 7100000));
   fleet_clear (&f);
--- a/regress/test-follow.c
+++ b/regress/test-follow.c
@@ -258,7 +258,7 @@
 static int64_t
 not_named_before (const struct source *p, int64_t version)
 {
-  return MAX (fleet_earliest_naming_us (&p->fleet, "m", version), 0);
+  return MAX (fleet_earliest_announcement_us (&p->fleet, "m", version), 0);
 }
 
 /*
--- a/regress/test-orders.c
+++ b/regress/test-orders.c
@@ -537,7 +537,7 @@
 static int64_t
 earliest_announcement_us (const struct stage *st)
 {
-  return fleet_earliest_naming_us (&st->fleet, "m", 2);
+  return fleet_earliest_announcement_us (&st->fleet, "m", 2);
 }
 
 /* Whether outdated weights would be used now if they may be for LIMIT_US. */
--- a/relaytry.c
+++ b/relaytry.c
@@ -484,7 +484,8 @@
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
+  const struct fleet_announced_version *newer
+      = fleet_outdated_by (o->fleet, c->endpoint);
   struct parts_query q = { .scope = r->cache_scope, .list = r->desc.parts };
 
   memset (&r->plan, 0, sizeof r->plan);
@@ -540,7 +541,8 @@
 {
   const struct relays_opts *o = &r->rs->opts;
   bool model = c->endpoint->listing.model[0] != '\0';
-  const struct fleet_named *newer = fleet_outdated_by (o->fleet, c->endpoint);
+  const struct fleet_announced_version *newer
+      = fleet_outdated_by (o->fleet, c->endpoint);
   struct relay_attempt s = { .desc = &r->desc, .endpoint = c->endpoint };
 
   r->endpoint = fleet_endpoint_ref (c->endpoint);
