--- a/Makefile
+++ b/Makefile
@@ -16,10 +16,10 @@
 	history.o poll.o storec.o kept.o export.o adopt.o conf.o confpost.o member.o \
 	peerrpc.o peerbody.o peerseal.o peer_xdr.o adm.o entry.o state.o listen.o srv.o
 # Requests that are passed on: beliefs of the fleet, and each request's life.
-RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o tell.o tellword.o evt.o relay.o relaytry.o \
+RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o loadgossip.o loadgossipwire.o sse.o relay.o relaytry.o \
 	relayadmit.o relaywork.o relayquar.o relaycrash.o reqid.o quar.o \
 	quarwire.o quarfeed.o follow.o \
-	lease.o naming.o orders.o parts.o partfeed.o evac.o
+	lease.o announce.o orders.o parts.o partfeed.o evac.o
 # The users' platform; translates only.
 PLATFORM = platform/answered.o platform/asked.o platform/decode.o platform/duty.o \
 	platform/engine.o platform/ingress.o platform/json.o platform/kvstore.o platform/notice.o \
@@ -70,18 +70,18 @@
 	regress/test-relay.o regress/test-orders.o regress/test-follow.o \
 	regress/test-parts.o regress/test-xfer.o regress/test-share.o \
 	regress/test-headers.o regress/test-fresh.o regress/test-steps.o \
-	regress/test-lives.o regress/test-load.o regress/test-admit.o \
-	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-homes.o regress/test-evac.o regress/test-relayquar.o regress/relayplay.o
+	regress/test-incarnations.o regress/test-load.o regress/test-admit.o \
+	regress/test-quar.o regress/test-cold.o regress/test-limit.o regress/test-notice.o regress/test-regions.o regress/test-evac.o regress/test-relayquar.o regress/relayharness.o
 
 regress/test-units: $(UNITS) libplatform.a librelay.a libserver.a libwire.a libdecide.a
 	$(CC) $(CFLAGS) -o $@ $(UNITS) libplatform.a librelay.a log.o met.o loop.o xfer.o fetch.o peer_xdr.o \
 		libwire.a libdecide.a $(LIBS)
 
 MODEL = regress/model.o regress/modelworld.o regress/modelstore.o \
-	regress/modellease.o regress/modelnamed.o regress/modelkeys.o \
-	regress/modellives.o
+	regress/modellease.o regress/modelannounce.o regress/modelkeys.o \
+	regress/modelrestart.o
 
-# The deciding code in played time: regress/modelworld.c stands for loop and
+# The deciding code in simulated time: regress/modelworld.c replaces loop and
 # log.
 regress/model: $(MODEL) met.o librelay.a libdecide.a
 	$(CC) $(CFLAGS) -o $@ $(MODEL) librelay.a met.o libdecide.a $(LIBS)
@@ -119,7 +119,7 @@
 FUZZED = prompt.c strm.c peer_xdr.c platform/answered.c platform/asked.c \
 	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/pieces.c \
 	platform/rows.c platform/roster.c \
-	platform/quarrows.c quar.c quarwire.c tellword.c fleet.c pace.c limit.c cold.c evt.c lease.c fetch.c xfer.c stall.c loop.c
+	platform/quarrows.c quar.c quarwire.c loadgossipwire.c fleet.c pace.c limit.c cold.c sse.c lease.c fetch.c xfer.c stall.c loop.c
 regress/fuzz-input: regress/fuzz-input.c $(FUZZED) wire.h
 	clang -std=gnu11 -D_GNU_SOURCE -g -O1 $(LIB_CFLAGS) -I. \
 		-fsanitize=fuzzer,address,undefined -o $@ \
--- a/entry.c
+++ b/entry.c
@@ -48,7 +48,7 @@
   int64_t duty_us;               /* this VM gave orders last */
   int64_t era;                   /* of the store, as seen last */
   struct load_table *book;       /* work of other VMs */
-  struct tell *tell;             /* tells them of ours; NULL if unset */
+  struct loadgossip *tell;       /* tells them of ours; NULL if unset */
   struct quar *quar;             /* requests that crash endpoints */
   struct quarfeed *quarfeed;     /* shares that with other VMs */
   struct relays *relays;         /* requests under way */
@@ -82,7 +82,7 @@
 
   return server_phase (s) < PHASE_NOTICE && e->fleet.conf != NULL
          && e->fleet.listed && quarfeed_known (e->quarfeed, now_us)
-         && fleet_age_us (&e->fleet, now_us) < stale;
+         && fleet_conf_age_us (&e->fleet, now_us) < stale;
 }
 
 static void
@@ -96,7 +96,8 @@
   if (ready != e->was_ready)
     log_event (LOG_LEVEL_INFO, "ready",
                "outcome=%s conf_age_us=%" G_GINT64_FORMAT " phase=%d",
-               ready ? "yes" : "no", (gint64)fleet_age_us (&e->fleet, now),
+               ready ? "yes" : "no",
+               (gint64)fleet_conf_age_us (&e->fleet, now),
                (int)server_phase (r->worker->server));
   e->was_ready = ready;
   req_respond (r, ready ? 200 : 503, NULL, "", 0);
@@ -120,9 +121,9 @@
 {
   struct entry *e = arg;
 
-  fleet_sweep (&e->fleet, now_us);
+  fleet_remove_missing (&e->fleet, now_us);
   evac_sweep (&e->fleet, now_us);
-  if (orders_held (e->orders))
+  if (orders_has_lease (e->orders))
     e->duty_us = now_us;
   if (e->duty_us != 0 && now_us - e->duty_us < FREE_DUTY_US)
     partfeed_free_outdated (e->feed, &e->fleet, now_us);
@@ -144,12 +145,12 @@
 {
   struct entry *e = arg;
 
-  orders_look (e->orders, now_us);
+  orders_check (e->orders, now_us);
   if (e->era != 0 && follow_era (e->follow) != e->era)
     {
       quarfeed_older_copy (e->quarfeed, now_us);
       if (e->tell != NULL)
-        tell_older_copy (e->tell, now_us);
+        loadgossip_store_restored (e->tell, now_us);
     }
   e->era = follow_era (e->follow);
   if (e->fleet.conf != NULL && e->fleet.conf_row != e->conf_row)
@@ -167,7 +168,7 @@
 
   entry_adapter.orders_ops (e->store, &o.ops);
   o.vm = vm->name;
-  o.gap_us = (e->cfg->order_gap_ms + ORDER_GAP_SPARE_MS) * CQ_US_PER_MS;
+  o.holder_gap_us = (e->cfg->order_gap_ms + ORDER_GAP_SPARE_MS) * CQ_US_PER_MS;
   o.seed = seed_of (vm);
   e->orders = orders_new (&o);
 }
@@ -177,9 +178,9 @@
 {
   struct follow_opts o = { .loop = e->worker->loop, .fleet = &e->fleet };
 
-  o.changed = on_changed;
+  o.on_change = on_changed;
   o.arg = e;
-  o.current_us = deny_us (e->cfg);
+  o.max_age_us = deny_us (e->cfg);
   entry_adapter.follow_ops (e->store, &o.ops);
   o.seed = seed_of (cfg_vm (server_cfg (e->worker->server)));
   e->follow = follow_new (&o);
@@ -191,7 +192,7 @@
 {
   const struct entry *e = arg;
 
-  return e->tell == NULL || tell_is_among (e->tell, key, places);
+  return e->tell == NULL || loadgossip_ranks_within (e->tell, key, places);
 }
 
 static void
@@ -201,7 +202,7 @@
 
   parts_init (&e->parts);
   entry_adapter.partfeed_ops (&o.ops, e->worker->pool);
-  o.is_among = is_among;
+  o.ranks_within = is_among;
   o.arg = e;
   o.seed = seed_of (cfg_vm (e->settings));
   e->feed = partfeed_new (&o);
@@ -213,7 +214,7 @@
   struct entry *e = arg;
 
   if (e->tell != NULL)
-    tell_changed (e->tell, now_us);
+    loadgossip_load_changed (e->tell, now_us);
 }
 
 /* --- quarantine ------------------------------------------------------ */
@@ -248,7 +249,7 @@
   struct entry *e = arg;
 
   if (e->tell != NULL)
-    tell_send (e->tell, datagram);
+    loadgossip_send (e->tell, datagram);
 }
 
 static bool
@@ -267,7 +268,7 @@
   int64_t turn = platform_ms (arg, now_us) / SUSPECT_TURN_MS;
 
   return e->tell == NULL
-         || tell_is_first (
+         || loadgossip_ranks_first (
              e->tell, XXH3_64bits_withSeed (id, sizeof *id, (uint64_t)turn));
 }
 
@@ -290,7 +291,7 @@
 {
   const struct entry *e = arg;
 
-  return e->tell != NULL ? tell_cold_part (e->tell, endpoint, rate) : 0;
+  return e->tell != NULL ? loadgossip_cold_share (e->tell, endpoint, rate) : 0;
 }
 
 static int64_t
@@ -299,8 +300,9 @@
   const struct entry *e = arg;
 
   if (e->tell == NULL)
-    return LIMIT_LOOK_US;
-  return tell_limit_gap (e->tell, endpoint, milli, platform_ms (arg, now_us));
+    return LIMIT_PROBE_INTERVAL_US;
+  return loadgossip_limit_interval (e->tell, endpoint, milli,
+                                    platform_ms (arg, now_us));
 }
 
 static void
@@ -312,17 +314,17 @@
   entry_adapter.engine_ops (&o.engine, e->worker->pool);
   o.parts = &e->parts;
   o.loads = e->book;
-  o.worked = on_worked;
-  o.worked_arg = e;
+  o.on_work_changed = on_worked;
+  o.work_arg = e;
   o.quar = e->quar;
   o.clock_ms = platform_ms;
-  o.observed = on_observed;
-  o.evidence_known = is_evidence_known;
-  o.suspect_turn = has_suspect_turn;
+  o.on_evidence = on_observed;
+  o.is_evidence_known = is_evidence_known;
+  o.may_run_suspect = has_suspect_turn;
   o.quar_arg = e;
   o.domain = vm->domain;
-  o.stale_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
-  o.deny_us = deny_us (e->cfg);
+  o.key_max_age_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
+  o.denial_max_age_us = deny_us (e->cfg);
   o.retry_percent = (int)e->cfg->retry_percent;
   o.retry_burst = (int)e->cfg->retry_burst;
   o.stream_buffer = (size_t)vm->stream_buffer_kb * 1024;
@@ -336,20 +338,21 @@
 make_tell (struct entry *e)
 {
   const struct cfg_vm *vm = cfg_vm (e->settings);
-  struct tell_opts o = { .loop = e->worker->loop, .gather = relays_gather };
+  struct loadgossip_opts o
+      = { .loop = e->worker->loop, .collect_load = relays_collect_load };
 
   if (e->cfg->tell[0] == '\0')
     return true;
   entry_adapter.roster_ops (e->store, &o.ops);
   o.ctx = e->relays;
-  o.book = e->book;
-  o.other = receive_evidence;
-  o.other_ctx = e;
+  o.load_table = e->book;
+  o.on_other_datagram = receive_evidence;
+  o.on_other_ctx = e;
   o.vm = vm->name;
   o.domain = vm->domain;
   o.listen = e->cfg->tell;
   o.seed = seed_of (vm);
-  e->tell = tell_new (&o);
+  e->tell = loadgossip_new (&o);
   if (e->tell == NULL)
     log_event (LOG_LEVEL_ERROR, "tell_listen", "address=%s outcome=failed",
                e->cfg->tell);
@@ -386,17 +389,18 @@
   e->settings = cfg_ref (server_cfg (w->server));
   e->cfg = cfg_entry (e->settings);
   fleet_init (&e->fleet);
-  if (!fleet_take_regions (&e->fleet, e->cfg->regions))
+  if (!fleet_parse_regions (&e->fleet, e->cfg->regions))
     log_event (LOG_LEVEL_ERROR, "regions", "outcome=unreadable text=\"%s\"",
                e->cfg->regions);
-  e->fleet.cold_part = cold_part_of;
-  e->fleet.limit_gap = limit_gap_of;
-  e->fleet.vms_arg = e;
-  e->fleet.old_max_us = e->cfg->version_ms * CQ_US_PER_MS - VERSION_MARGIN_US;
-  e->fleet.factors.unread = (int)e->cfg->weigh_unread;
+  e->fleet.cold_share = cold_part_of;
+  e->fleet.limit_interval_us = limit_gap_of;
+  e->fleet.share_arg = e;
+  e->fleet.outdated_accept_us
+      = e->cfg->version_ms * CQ_US_PER_MS - VERSION_MARGIN_US;
+  e->fleet.factors.pending_prefill = (int)e->cfg->weigh_unread;
   e->fleet.factors.memory = (int)e->cfg->weigh_memory;
   e->fleet.factors.parts = (int)e->cfg->weigh_parts;
-  e->fleet.old_end_us
+  e->fleet.outdated_start_us
       = e->cfg->version_ms * CQ_US_PER_MS - VERSION_END_MARGIN_US;
   e->book = load_new ();
   e->quar = quar_new (e->cfg->quarantine_s * CQ_US_PER_S / CQ_US_PER_MS);
@@ -433,7 +437,7 @@
   partfeed_stop (e->feed);
   quarfeed_stop (e->quarfeed);
   if (e->tell != NULL)
-    tell_stop (e->tell);
+    loadgossip_stop (e->tell);
   loop_disarm (&e->sweep);
 }
 
@@ -449,9 +453,9 @@
 {
   if (e == NULL)
     return 0;
-  return follow_waiting (e->follow) + orders_waiting (e->orders)
+  return follow_waiting (e->follow) + orders_pending_calls (e->orders)
          + partfeed_waiting (e->feed) + quarfeed_waiting (e->quarfeed)
-         + (e->tell != NULL ? tell_waiting (e->tell) : 0);
+         + (e->tell != NULL ? loadgossip_waiting (e->tell) : 0);
 }
 
 void
@@ -465,7 +469,7 @@
   partfeed_free (e->feed);
   relays_free (e->relays);
   if (e->tell != NULL)
-    tell_free (e->tell);
+    loadgossip_free (e->tell);
   quar_free (e->quar);
   load_free (e->book);
   parts_clear (&e->parts);
--- a/regress/drive.c
+++ b/regress/drive.c
@@ -1,7 +1,7 @@
 /*
- * Scripted runs of the deciding library: reads commands, one a line, with the
- * time in the script, and prints what was decided.  "#" starts a comment that
- * is printed too, so that an expected output reads like the story it tells.
+ * Scripted runs of the decision library: reads one command per line, with
+ * times given in the script, and prints the decisions.  Comment lines, which
+ * start with "#", are copied to the output to explain what is expected.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 #define MAX_WORDS 16
 #define MAX_NAMED 64
 
-/* Words of the present line. */
+/* Words of the current line. */
 static char *words[MAX_WORDS];
 static int nwords;
 
@@ -54,7 +54,7 @@
   return i < nwords ? words[i] : "";
 }
 
-/* Value of "NAME=VALUE" among the words, or the fallback. */
+/* Value of the word "NAME=VALUE", or the fallback. */
 static const char *
 option (const char *name, const char *fallback)
 {
@@ -164,12 +164,12 @@
                (int)option_number ("places", 1), number (4));
   printf ("%s: %s, expected wait %" G_GINT64_FORMAT " us", e->name,
           names[v.code], (gint64)v.wait_us);
-  if (v.victim != NULL)
-    printf (", pushes out %s", entry_name (v.victim));
+  if (v.evicted != NULL)
+    printf (", evicts %s", entry_name (v.evicted));
   putchar ('\n');
 }
 
-/* pop FREE_PLACES [COUNT] [share=N]: what starts, and holds a place. */
+/* pop FREE_SLOTS [COUNT] [share=N]: starts requests, which then hold slots. */
 static void
 do_pop (void)
 {
@@ -187,7 +187,7 @@
   putchar ('\n');
 }
 
-/* release WORKSPACE: a normal request of it gave its place back. */
+/* release WORKSPACE: one of its normal requests releases its slot. */
 static void
 do_release (void)
 {
@@ -200,7 +200,7 @@
   budget_init (&budget, (int)number (1), (int)number (2));
 }
 
-/* outage REQUESTS: each fails once and asks for a retry. */
+/* outage REQUESTS: each request fails once and tries to get a retry. */
 static void
 do_outage (void)
 {
@@ -260,7 +260,7 @@
   r.leaving = option_number ("leaving", 0) != 0;
   g_strlcpy (r.version, option ("version", "v1"), sizeof r.version);
   g_strlcpy (r.incarnation, option ("incarnation", "1"), sizeof r.incarnation);
-  route_reported (routes, endpoint (word (1)), &r);
+  route_set_report (routes, endpoint (word (1)), &r);
 }
 
 /* pick TIME [tokens=N] [version=V] [hit=NAME:BLOCKS] [not=NAME] [count=N] */
@@ -285,7 +285,7 @@
 
       h.endpoint = endpoint (parts[0]);
       h.blocks = atoi (parts[1]);
-      h.permille = 1000;
+      h.probability_permille = 1000;
       q.hits = &h;
       q.nhits = 1;
     }
@@ -308,7 +308,7 @@
               " us, cached %" G_GINT64_FORMAT ", near %d of %d\n",
               route_get (routes, c.endpoint)->opts.name, (gint64)c.cost_us,
               (gint64)c.queue_us, (gint64)c.compute_us, (gint64)c.network_us,
-              (gint64)c.cached_tokens, c.near, c.candidates);
+              (gint64)c.cached_tokens, c.near_best, c.candidates);
       route_sent (routes, c.endpoint, q.prompt_tokens - c.cached_tokens,
                   number (1));
     }
@@ -370,7 +370,8 @@
           (gint64)p.compute_us, (gint64)p.first_us, (gint64)p.score);
 }
 
-/* uses COUNT / returns COUNT SECONDS: what a workspace's prompts did */
+/* uses COUNT / returns COUNT SECONDS: prompts used, and returned after a gap
+ */
 static void
 do_uses (void)
 {
@@ -394,11 +395,11 @@
 do_chance (void)
 {
   printf ("%" G_GINT64_FORMAT " in a million\n",
-          (gint64)keep_chance_ppm (&keep, number (1) * CQ_US_PER_S,
+          (gint64)keep_return_ppm (&keep, number (1) * CQ_US_PER_S,
                                    number (2) * CQ_US_PER_S));
 }
 
-/* worth AGE_S: of a segment of 512 tokens and 30 MB, six hours ahead */
+/* worth AGE_S: value of keeping 512 tokens in 30 MB for six hours */
 static void
 do_worth (void)
 {
@@ -409,12 +410,12 @@
   in.age_us = number (1) * CQ_US_PER_S;
   in.span_us = 21600 * CQ_US_PER_S;
   printf ("%" G_GINT64_FORMAT " us a megabyte\n",
-          (gint64)keep_worth (&keep, &in));
+          (gint64)keep_value_us (&keep, &in));
 }
 
 /* --- claims ---------------------------------------------------------- */
 
-/* row held|done ATTEMPT DIGEST GIVE_UP_MS, seen by ATTEMPT DIGEST at MS */
+/* row held|done ATTEMPT DIGEST GIVE_UP_MS, as read by ATTEMPT DIGEST at MS */
 static void
 do_row (void)
 {
@@ -425,7 +426,7 @@
   r.digest = word (3);
   r.give_up_ms = number (4);
   printf ("%s\n",
-          claim_name (claim_judge (&r, word (5), word (6), number (7))));
+          claim_name (claim_evaluate (&r, word (5), word (6), number (7))));
 }
 
 static void
@@ -441,8 +442,8 @@
 /* A command of the scripts. */
 struct command
 {
-  const char *name;   /* first word */
-  void (*run) (void); /* uses the words of the line */
+  const char *name;   /* first word of the line */
+  void (*run) (void); /* reads its arguments from words */
 };
 
 static const struct command commands[] = {
--- a/regress/test-cold.c
+++ b/regress/test-cold.c
@@ -1,19 +1,19 @@
-/* Unit tests of cold endpoints: who may send there, and when. */
+/* Unit tests of cold endpoints: which VMs may send there, and when. */
 #include <glib.h>
 #include <string.h>
 
 #include "cold.h"
-#include "relayplay.h"
-#include "tell.h"
+#include "relayharness.h"
+#include "loadgossip.h"
 #include "units.h"
 
-#define RATES 40   /* requests a second, up to */
-#define VMS 100    /* VMs, up to */
-#define TRIES 5000 /* draws in the play of one VM */
+#define RATES 40   /* highest rate, requests a second */
+#define VMS 100    /* most VMs */
+#define TRIES 5000 /* attempts of the simulated VM */
 
-/* Guards against parts that add up to more than the endpoint bears. */
+/* Guards against shares that add up to more than the endpoint can take. */
 static void
-test_parts (void)
+test_shares (void)
 {
   int rate, vms, rank, sum;
 
@@ -22,13 +22,13 @@
       {
         sum = 0;
         for (rank = 0; rank < vms; rank++)
-          sum += cold_part (rate, vms, rank);
+          sum += cold_share (rate, vms, rank);
         g_assert_cmpint (sum, <=, rate);
         g_assert_true (rate == 0 || 2 * sum >= rate);
       }
 }
 
-/* Guards against a second that holds more than a VM's part of the rate. */
+/* Guards against a second that holds more than a VM's share of the rate. */
 static void
 test_second (void)
 {
@@ -39,7 +39,7 @@
   int64_t now = CQ_US_PER_S;
   int i, n = 0;
 
-  cold_judge (&c, rate, now);
+  cold_set_share (&c, rate, now);
   for (i = 0; i < TRIES; i++, now += g_rand_int_range (rand, 0, 200000))
     {
       if (!pace_may_send (&c.pace, now))
@@ -51,9 +51,9 @@
   g_assert_cmpint (n, >, 100);
 }
 
-/* Guards against VMs that are gone and keep their share of duties, and against
-   live ones that lose theirs since they are read more often than they write.
- */
+/* Guards against VMs that have ended and keep their share of duties, and
+   against live ones that lose theirs because they are read more often than
+   they write. */
 static void
 test_roster_age (void)
 {
@@ -61,22 +61,22 @@
   int i;
 
   for (i = 0; i < 50; i++)
-    roster_read (&a, 1, false);
-  g_assert_true (roster_counts (&a));
+    roster_note_version (&a, 1, false);
+  g_assert_true (roster_is_active (&a));
   for (i = 0; i < 50; i++)
     {
-      roster_read (&a, 2 + i / 4, true);
-      g_assert_true (roster_counts (&a));
+      roster_note_version (&a, 2 + i / 4, true);
+      g_assert_true (roster_is_active (&a));
     }
   for (i = 0; i < 5; i++)
-    roster_read (&a, a.version, true);
-  g_assert_false (roster_counts (&a));
-  g_assert_false (roster_is_gone (&a));
-  roster_read (&a, 100, true);
-  g_assert_true (roster_counts (&a));
+    roster_note_version (&a, a.version, true);
+  g_assert_false (roster_is_active (&a));
+  g_assert_false (roster_is_expired (&a));
+  roster_note_version (&a, 100, true);
+  g_assert_true (roster_is_active (&a));
   for (i = 0; i < 10; i++)
-    roster_read (&a, 100, true);
-  g_assert_true (roster_is_gone (&a));
+    roster_note_version (&a, 100, true);
+  g_assert_true (roster_is_expired (&a));
 }
 
 static int
@@ -89,73 +89,73 @@
 }
 
 static void
-declare_cold (struct play *p)
+declare_cold (struct harness *p)
 {
   struct fleet_service *s = g_new0 (struct fleet_service, 1);
 
   s->name = g_strdup ("s");
-  s->cold_us = 3 * CQ_US_PER_S;
-  s->cold_rate = 10;
+  s->cold_start_us = 3 * CQ_US_PER_S;
+  s->cold_requests_s = 10;
   g_hash_table_replace (p->fleet.conf->services, s->name, s);
 }
 
-/* Guards against a burst at an endpoint that bears one request a second. */
+/* Guards against a burst at an endpoint that can take one request a second. */
 static void
 test_burst (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   int i, cold = 0;
 
   declare_cold (p);
-  p->fleet.cold_part = one_a_second;
-  cold_until (&play_endpoint (p, "a")->cold,
+  p->fleet.cold_share = one_a_second;
+  cold_until (&harness_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
   for (i = 0; i < 20; i++)
     {
       p->sends = 0;
-      play_start (p);
+      harness_start (p);
       cold += strcmp (p->to[0], "a") == 0;
-      play_answer (p, "ok");
+      harness_answer (p, "ok");
     }
   g_assert_cmpint (cold, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 /* Guards against a request that was placed before its endpoint became cold. */
 static void
 test_cold_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
-  play_start (p);
-  cold_until (&play_endpoint (p, p->to[0])->cold,
+  harness_start (p);
+  cold_until (&harness_endpoint (p, p->to[0])->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  play_moves_on (p);
-  play_free (p);
+  harness_expect_next_endpoint (p);
+  harness_free (p);
 }
 
-/* Guards against requests that wait for endpoints that are all cold, where
-   other VMs have the rate. */
+/* Guards against requests that wait for endpoints that are all cold, when
+   other VMs have the shares of their rate. */
 static void
 test_all_cold (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   declare_cold (p);
-  cold_until (&play_endpoint (p, "a")->cold,
+  cold_until (&harness_endpoint (p, "a")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  cold_until (&play_endpoint (p, "b")->cold,
+  cold_until (&harness_endpoint (p, "b")->cold,
               loop_now_us () + 60 * CQ_US_PER_S);
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 const struct unit cold_units[] = {
-  { "/cold/parts", test_parts },
+  { "/cold/shares", test_shares },
   { "/cold/second", test_second },
   { "/roster/age", test_roster_age },
   { "/cold/burst", test_burst },
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -1,13 +1,13 @@
-/* Unit tests of requests that crash endpoints, as one VM passes them on. */
+/* Unit tests of the relay on requests that crash endpoints. */
 #include <glib.h>
 #include <string.h>
 
-#include "relayplay.h"
+#include "relayharness.h"
 #include "units.h"
 
-/* Another VM saw N endpoints end under the request, half a second apart. */
+/* Another VM saw N endpoints crash under the request, half a second apart. */
 static void
-accuse (struct play *p, const char *workspace, int n)
+add_crashes (struct harness *p, const char *workspace, int n)
 {
   struct quar_fact f = { .done = false };
   int64_t i;
@@ -23,175 +23,176 @@
 }
 
 static void
-condemn (struct play *p, const char *workspace)
+add_refusal_evidence (struct harness *p, const char *workspace)
 {
-  accuse (p, workspace, 4);
+  add_crashes (p, workspace, 4);
 }
 
 /*
- * A request under which four endpoints ended comes again under another id.
- * It goes to no endpoint, and its caller is not told "not run", nor to come
- * back: it ran, and would end the next one.
+ * A request under which four endpoints crashed returns with another id.  It is
+ * sent to no endpoint, and its caller is told neither "not run" nor to retry:
+ * it ran before, and would crash the next endpoint.
  */
 static void
-test_held (void)
+test_refused (void)
 {
   static const enum fleet_kind kinds[]
-      = { FLEET_IDEMPOTENT, FLEET_ONCE, FLEET_STREAM };
-  struct play *p;
+      = { FLEET_IDEMPOTENT, FLEET_AT_MOST_ONCE, FLEET_STREAM };
+  struct harness *p;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
-      p = play_new (kinds[i]);
-      condemn (p, "ws");
+      p = harness_new (kinds[i]);
+      add_refusal_evidence (p, "ws");
       p->desc.id = "another";
-      play_start (p);
+      harness_start (p);
       g_assert_cmpint (p->sends, ==, 0);
       g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
       g_assert_cmpint (p->retry_after_us, ==, 0);
-      play_free (p);
+      harness_free (p);
     }
 }
 
-/* The same bytes of another workspace are another request: nobody can have
-   other callers refused. */
+/* The same bytes from another workspace are another request, so that no caller
+   can have those of other workspaces refused. */
 static void
-test_held_by_workspace (void)
+test_digest_by_workspace (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
-  condemn (p, "other");
-  play_start (p);
+  add_refusal_evidence (p, "other");
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
-  play_answer (p, "a");
+  harness_answer (p, "a");
   g_assert_cmpint (p->status, ==, 200);
-  play_free (p);
+  harness_free (p);
 }
 
-/* Other VMs' evidence comes after the request was placed and before its first
-   byte left. */
+/* Evidence of other VMs arrives after an endpoint was chosen and before the
+   first byte left. */
 static void
-test_held_before_send (void)
+test_refused_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
-  play_start (p);
-  condemn (p, "ws");
+  harness_start (p);
+  add_refusal_evidence (p, "ws");
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   g_assert_cmpint (p->sends, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
 static bool
-has_turn (void *arg, const struct reqid *id, int64_t now_us)
+may_run_suspect (void *arg, const struct reqid *id, int64_t now_us)
 {
-  struct play *p = arg;
+  struct harness *p = arg;
 
   (void)id;
   (void)now_us;
   return p->turn;
 }
 
-/* Guards against a request under which three endpoints ended and that runs at
-   several VMs, or twice at one, before the fourth crash is known. */
+/* Guards against a request under which three endpoints crashed and that runs
+   at several VMs, or twice at one, before the fourth crash is known. */
 static void
 test_suspect_alone (void)
 {
-  struct play *p = play_new (FLEET_IDEMPOTENT);
+  struct harness *p = harness_new (FLEET_IDEMPOTENT);
   const struct relay_events *event;
   void *arg;
 
-  p->relays->opts.suspect_turn = has_turn;
-  accuse (p, "ws", 3);
-  play_start (p);
+  p->relays->opts.may_run_suspect = may_run_suspect;
+  add_crashes (p, "ws", 3);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 0);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->retry_after_us, >, 0);
   p->turn = true;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   event = p->event;
   arg = p->arg;
   g_assert_true (event->before_send (arg));
   p->refused = -1;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   p->refused = -1;
-  play_end (p, true, false);
-  /* Nor is it repeated by itself. */
+  harness_end (p, true, false);
+  /* The relay does not retry it either. */
   g_assert_cmpint (p->sends, ==, 1);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
-  play_run (p, 1000);
+  harness_run (p, 1000);
   p->probe (p->probe_arg, RELAY_PROBE_ALIVE, NULL);
-  play_run (p, 1200000);
-  play_free (p);
+  harness_run (p, 1200000);
+  harness_free (p);
 }
 
-/* Guards against a suspect request that was placed before it became suspect.
- */
+/* Guards against sending a request that became suspect after its endpoint was
+   chosen. */
 static void
 test_suspect_before_send (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
-  p->relays->opts.suspect_turn = has_turn;
-  play_start (p);
-  accuse (p, "ws", 3);
+  p->relays->opts.may_run_suspect = may_run_suspect;
+  harness_start (p);
+  add_crashes (p, "ws", 3);
   g_assert_false (p->event->before_send (p->arg));
-  play_end (p, false, false);
+  harness_end (p, false, false);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   g_assert_cmpint (p->sends, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
-/* Guards against a request that stays suspect after it was answered whole. */
+/* Guards against a request that stays suspect after a complete answer. */
 static void
 test_suspect_answered (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
-  p->relays->opts.suspect_turn = has_turn;
+  p->relays->opts.may_run_suspect = may_run_suspect;
   p->turn = true;
-  accuse (p, "ws", 3);
-  play_start (p);
-  play_answer (p, "a");
+  add_crashes (p, "ws", 3);
+  harness_start (p);
+  harness_answer (p, "a");
   p->turn = false;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->sends, ==, 2);
-  play_answer (p, "a");
-  play_free (p);
+  harness_answer (p, "a");
+  harness_free (p);
 }
 
-/* A VM that starts has not read what the others saw: it says "not run". */
+/* A VM that starts has not read the evidence of the others yet: it answers
+   "not run". */
 static void
 test_evidence_unknown (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   p->evidence_known = false;
-  play_start (p);
+  harness_start (p);
   g_assert_cmpint (p->refused, ==, RELAY_NOT_RUN);
   p->evidence_known = true;
-  play_start (p);
-  play_answer (p, "a");
-  play_free (p);
+  harness_start (p);
+  harness_answer (p, "a");
+  harness_free (p);
 }
 
-/* A request's answer breaks off; the endpoint is asked once, and PROBE is what
-   that shows.  Returns whether it became evidence. */
+/* The connection of a request breaks, and the probe of its endpoint gives
+   PROBE.  Returns whether there is evidence on the request. */
 static bool
-break_off (struct play *p, enum relay_probe probe)
+break_off (struct harness *p, enum relay_probe_result probe)
 {
   struct reqid id;
 
   reqid_of (&p->desc, "ws", &id);
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->refused, ==, RELAY_UNKNOWN);
   if (p->probe != NULL)
     p->probe (p->probe_arg, probe, NULL);
@@ -200,69 +201,69 @@
 }
 
 /*
- * A connection closes before its answer is whole.  Only if nothing listens at
- * the endpoint any more did it end: links are reset, endpoints break answers
- * off and live, and one that is cut off says nothing.
+ * A connection closes before its answer is complete.  The endpoint crashed
+ * only if nothing listens there any more: links are reset, endpoints break off
+ * answers and continue to run, and an unreachable one shows nothing.
  */
 static void
-test_end_is_asked (void)
+test_broken_endpoint_probed (void)
 {
-  static const enum relay_probe probes[]
+  static const enum relay_probe_result probes[]
       = { RELAY_PROBE_ALIVE, RELAY_PROBE_SILENT, RELAY_PROBE_CRASHED };
-  struct play *p;
+  struct harness *p;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (probes); i++)
     {
-      p = play_new (FLEET_ONCE);
+      p = harness_new (FLEET_AT_MOST_ONCE);
       g_assert_true (break_off (p, probes[i])
                      == (probes[i] == RELAY_PROBE_CRASHED));
       g_assert_cmpint (p->probes, ==, 1);
       g_assert_cmpint (p->observed, ==, probes[i] == RELAY_PROBE_CRASHED);
-      play_free (p);
+      harness_free (p);
     }
 }
 
 /*
- * The endpoint is about to end when it is probed: it takes the connection, and
- * closes it with the others.  That shows nothing, so it is probed again, and
- * then nothing listens there any more.
+ * The endpoint's process is ending when it is probed: it accepts the
+ * connection, and closes it with the others.  This shows nothing, so it is
+ * probed again, and then nothing listens there any more.
  */
 static void
 test_probed_again (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
   g_assert_false (break_off (p, RELAY_PROBE_SILENT));
-  play_run (p, 150 * CQ_US_PER_MS);
+  harness_run (p, 150 * CQ_US_PER_MS);
   g_assert_cmpint (p->probes, ==, 2);
   p->probe (p->probe_arg, RELAY_PROBE_CRASHED, NULL);
   g_assert_cmpint (p->observed, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
-/* An endpoint that was leaving ends as it said, under whatever it has. */
+/* A draining endpoint ends as announced, whatever requests it still has. */
 static void
-test_release_is_no_end (void)
+test_draining_not_probed (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *e;
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
   APR_RING_FOREACH (e, &p->fleet.endpoints, fleet_endpoint, link)
   e->draining = true;
-  play_end (p, true, false);
+  harness_end (p, true, false);
   g_assert_cmpint (p->probes, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
-/* An endpoint that breaks off one answer after the other is asked once a
+/* An endpoint that breaks off one answer after another is probed once a
    second. */
 static void
-test_asked_seldom (void)
+test_probe_interval (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
   struct fleet_endpoint *b = g_hash_table_lookup (p->fleet.by_id, "b");
   int i;
 
@@ -270,37 +271,37 @@
   for (i = 0; i < 5; i++)
     break_off (p, RELAY_PROBE_ALIVE);
   g_assert_cmpint (p->probes, ==, 1);
-  play_free (p);
+  harness_free (p);
 }
 
-/* Where no endpoint ended, no request is digested. */
+/* While no endpoint has crashed, no digest of a request is computed. */
 static void
-test_calm_costs_nothing (void)
+test_no_evidence_no_digest (void)
 {
-  struct play *p = play_new (FLEET_ONCE);
+  struct harness *p = harness_new (FLEET_AT_MOST_ONCE);
 
-  play_start (p);
+  harness_start (p);
   g_assert_true (p->event->before_send (p->arg));
-  g_assert_false (p->relay->identified);
-  play_head (p, 200);
-  play_body (p, "a");
-  play_end (p, true, true);
+  g_assert_false (p->relay->has_identity);
+  harness_head (p, 200);
+  harness_body (p, "a");
+  harness_end (p, true, true);
   g_assert_cmpint (p->probes, ==, 0);
-  play_free (p);
+  harness_free (p);
 }
 
 const struct unit relayquar_units[] = {
-  { "/relay/held", test_held },
-  { "/relay/held-by-workspace", test_held_by_workspace },
-  { "/relay/held-before-send", test_held_before_send },
+  { "/relay/quarantine-refused", test_refused },
+  { "/relay/digest-by-workspace", test_digest_by_workspace },
+  { "/relay/quarantine-refused-before-send", test_refused_before_send },
   { "/relay/suspect-alone", test_suspect_alone },
   { "/relay/suspect-before-send", test_suspect_before_send },
   { "/relay/suspect-answered", test_suspect_answered },
   { "/relay/evidence-unknown", test_evidence_unknown },
-  { "/relay/end-is-asked", test_end_is_asked },
+  { "/relay/broken-endpoint-probed", test_broken_endpoint_probed },
   { "/relay/probed-again", test_probed_again },
-  { "/relay/release-is-no-end", test_release_is_no_end },
-  { "/relay/asked-seldom", test_asked_seldom },
-  { "/relay/calm-costs-nothing", test_calm_costs_nothing },
+  { "/relay/draining-not-probed", test_draining_not_probed },
+  { "/relay/probe-interval", test_probe_interval },
+  { "/relay/no-evidence-no-digest", test_no_evidence_no_digest },
   { NULL, NULL },
 };
--- a/relay.c
+++ b/relay.c
@@ -1,4 +1,4 @@
-/* Requests that are passed on as they are: the life of each one. */
+/* The relay: start and end of each request. */
 #include "librelay.h"
 
 #include <string.h>
@@ -7,19 +7,20 @@
 #include "log.h"
 #include "met.h"
 
-/* Between looks at deadlines: a tenth of the half second in which a timed
-   out request must have its answer. */
-#define SWEEP_US (40 * CQ_US_PER_MS)
-/* Sweeps between looks for callers that hung up: well inside half a second. */
-#define GONE_EVERY 4
+/* Interval of deadline checks, less than a tenth of the half second in which
+   a request that timed out must be answered. */
+#define SWEEP_INTERVAL_US (40 * CQ_US_PER_MS)
+/* Every so many sweeps, callers that hung up are looked for: well within half
+   a second. */
+#define DISCONNECT_CHECK_SWEEPS 4
 
 /* --- small helpers --------------------------------------------------- */
 
-/* A step of splitmix64. */
+/* One step of splitmix64. */
 uint64_t
-relay_draw (struct relays *rs)
+relay_random (struct relays *rs)
 {
-  uint64_t z = rs->random += UINT64_C (0x9E3779B97F4A7C15);
+  uint64_t z = rs->random_state += UINT64_C (0x9E3779B97F4A7C15);
 
   z = (z ^ (z >> 30)) * UINT64_C (0xBF58476D1CE4E5B9);
   z = (z ^ (z >> 27)) * UINT64_C (0x94D049BB133111EB);
@@ -27,7 +28,7 @@
 }
 
 static struct relay_service *
-need_service (struct relays *rs, const char *name)
+get_or_add_service (struct relays *rs, const char *name)
 {
   struct relay_service *s = g_hash_table_lookup (rs->services, name);
 
@@ -40,9 +41,9 @@
   return s;
 }
 
-/* Work that a request asks for: tokens to be read, and one for the rest. */
+/* Work that a request asks for: the tokens of its prompt, plus one. */
 static int64_t
-work_of (const struct relay_desc *d)
+requested_tokens (const struct relay_desc *d)
 {
   int64_t work = 1;
   int i;
@@ -53,13 +54,13 @@
 }
 
 bool
-relay_repeatable (const struct relay *r)
+relay_is_repeatable (const struct relay *r)
 {
   switch (r->route->kind)
     {
     case FLEET_IDEMPOTENT:
       return true;
-    case FLEET_ONCE:
+    case FLEET_AT_MOST_ONCE:
       return false;
     case FLEET_STREAM:
       return r->route->resumable;
@@ -68,21 +69,21 @@
 }
 
 /*
- * Keys may have been taken away while this VM could not hear of it, and a VM
- * that was suspended wakes up with old knowledge.  Past the bound, work with
- * a key is refused as not run: a key that was taken away must open nothing.
+ * A key may have been revoked while this VM was cut off from the platform or
+ * suspended.  Once the configuration is older than the limit, requests that
+ * need a key are refused as not run, since a revoked key must not be accepted.
  */
 bool
 relay_is_stale (const struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
 
-  return !r->route->anonymous && fleet_age_us (o->fleet, now_us) > o->stale_us;
+  return !r->route->anonymous
+         && fleet_conf_age_us (o->fleet, now_us) > o->key_max_age_us;
 }
 
-/* Whether the key still opens the route by the newest configuration. */
 bool
-relay_key_is_gone (const struct relay *r)
+relay_is_key_revoked (const struct relay *r)
 {
   const struct fleet_conf *now = r->rs->opts.fleet->conf;
 
@@ -100,7 +101,7 @@
 
   for (i = 0; i < r->ntried; i++)
     fleet_endpoint_unref (r->tried[i]);
-  evt_clear (&r->events);
+  sse_clear (&r->events);
   g_string_free (r->answer, TRUE);
   g_strfreev (r->lines);
   fleet_conf_unref (r->conf);
@@ -108,15 +109,15 @@
 }
 
 void
-relay_leave (struct relay *r, int64_t now_us)
+relay_release_endpoint (struct relay *r, int64_t now_us)
 {
   if (r->endpoint == NULL)
     return;
-  relay_read (r, now_us);
-  pick_ended (r->endpoint);
+  relay_prefill_done (r, now_us);
+  pick_request_ended (r->endpoint);
   fleet_endpoint_unref (r->endpoint);
   r->endpoint = NULL;
-  relay_tell_work (r, now_us);
+  relay_notify_work (r, now_us);
 }
 
 void
@@ -134,20 +135,21 @@
   met_add (MET_RUNNING, -1);
   if (outcome == OUT_ANSWERED)
     met_observe (MET_WHOLE_TIME, now_us - r->arrived_us);
-  log_event (LOG_LEVEL_INFO, "finish",
-             "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
-             "unsent=%d handed_us=%" G_GINT64_FORMAT
-             " first_us=%" G_GINT64_FORMAT " whole_us=%" G_GINT64_FORMAT,
-             r->desc.id, r->route->name, out_name (outcome), reason, r->status,
-             r->attempts, r->unsent,
-             (gint64)(r->handed_us ? r->handed_us - r->arrived_us : 0),
-             (gint64)(r->first_us ? r->first_us - r->arrived_us : 0),
-             (gint64)(now_us - r->arrived_us));
-  relay_leave (r, now_us);
+  log_event (
+      LOG_LEVEL_INFO, "finish",
+      "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
+      "unsent=%d handed_us=%" G_GINT64_FORMAT " first_us=%" G_GINT64_FORMAT
+      " whole_us=%" G_GINT64_FORMAT,
+      r->desc.id, r->route->name, out_name (outcome), reason, r->status,
+      r->attempts, r->unsent,
+      (gint64)(r->handed_over_us ? r->handed_over_us - r->arrived_us : 0),
+      (gint64)(r->first_chunk_us ? r->first_chunk_us - r->arrived_us : 0),
+      (gint64)(now_us - r->arrived_us));
+  relay_release_endpoint (r, now_us);
   APR_RING_REMOVE (r, link);
   r->rs->count--;
   r->done = true;
-  if (!r->unpausing)
+  if (!r->unpause_posted)
     relay_free (r);
 }
 
@@ -158,7 +160,7 @@
     r->desc.caller->refuse (r->desc.arg, why, retry_after_us);
 }
 
-/* Give the request up: tell the caller now, and only what is true. */
+/* The caller is answered at once, and "not run" only for OUT_NOT_RUN. */
 void
 relay_give_up (struct relay *r, enum outcome outcome, const char *reason,
                int64_t retry_after_us, int64_t now_us)
@@ -167,9 +169,9 @@
 
   if (outcome == OUT_NOT_RUN)
     why = RELAY_NOT_RUN;
-  else if (now_us >= r->end_us)
+  else if (now_us >= r->deadline_us)
     why = RELAY_TIMED_OUT;
-  if (r->begun && r->desc.caller != NULL)
+  if (r->stream_begun && r->desc.caller != NULL)
     r->desc.caller->end (r->desc.arg, false);
   else
     refuse (r, why, retry_after_us);
@@ -182,22 +184,23 @@
 on_sweep (void *arg, int64_t now_us)
 {
   struct relays *rs = arg;
-  bool look = ++rs->sweeps % GONE_EVERY == 0;
+  bool check = ++rs->sweeps % DISCONNECT_CHECK_SWEEPS == 0;
   struct relay *r, *next;
 
   for (r = APR_RING_FIRST (&rs->all);
        r != APR_RING_SENTINEL (&rs->all, relay, link); r = next)
     {
       next = APR_RING_NEXT (r, link);
-      if (look && r->desc.caller != NULL && r->desc.caller->gone (r->desc.arg))
-        relay_caller_gone (r);
-      else if (now_us >= r->end_us)
+      if (check && r->desc.caller != NULL
+          && r->desc.caller->is_disconnected (r->desc.arg))
+        relay_caller_disconnected (r);
+      else if (now_us >= r->deadline_us)
         relay_time_out (r, now_us);
       else if (relay_waits_too_long (r, now_us))
         relay_withdraw (r, now_us);
     }
   if (rs->count > 0)
-    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_US);
+    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_INTERVAL_US);
 }
 
 /* --- start ----------------------------------------------------------- */
@@ -211,10 +214,10 @@
              " conf_age_us=%" G_GINT64_FORMAT,
              d->id, d->host, outcome, reason,
              (gint64)(f->conf != NULL ? f->conf->version : 0),
-             (gint64)fleet_age_us (f, now_us));
+             (gint64)fleet_conf_age_us (f, now_us));
 }
 
-/* Refuse a request that leads nowhere. */
+/* Refuse a request before it is started. */
 static void
 refuse_early (struct relays *rs, const struct relay_desc *d,
               enum relay_refusal why, const char *reason, int64_t now_us)
@@ -222,8 +225,8 @@
   int64_t wait = 0;
 
   if (why == RELAY_NOT_RUN)
-    wait = RETRY_LATER_US
-           + (int64_t)(relay_draw (rs) % (uint64_t)RETRY_SPREAD_US);
+    wait = RETRY_AFTER_STALE_US
+           + (int64_t)(relay_random (rs) % (uint64_t)RETRY_JITTER_US);
   log_refusal (d, out_name (OUT_NOT_RUN), reason, rs->opts.fleet, now_us);
   met_add (MET_NOT_RUN, 1);
   d->caller->refuse (d->arg, why, wait);
@@ -231,35 +234,38 @@
 
 /*
  * A denial says that there is no such route or key, and the caller gives up.
- * But a change counts for what is sent a certain time after the operator had
- * its acknowledgement, and a VM whose knowledge is older than that time may
- * have missed one.  With younger knowledge it cannot: a change that is not in
- * it was acknowledged later, and so does not count yet.
+ * A change of the settings applies to requests that are sent a certain time
+ * after the operator got its acknowledgement.  A VM whose settings are older
+ * than that time may lack such a change, so it answers "not run" instead.  A
+ * change that newer settings lack was acknowledged later and does not apply
+ * yet.
  */
 static void
 deny (struct relays *rs, const struct relay_desc *d, enum relay_refusal why,
       const char *reason, int64_t now_us)
 {
-  if (fleet_age_us (rs->opts.fleet, now_us) < rs->opts.deny_us)
+  if (fleet_conf_age_us (rs->opts.fleet, now_us) < rs->opts.denial_max_age_us)
     refuse_early (rs, d, why, reason, now_us);
   else
     refuse_early (rs, d, RELAY_NOT_RUN, "settings_behind", now_us);
 }
 
 void
-relay_too_large (struct relays *rs, const struct relay_desc *d, int64_t now_us)
+relay_refuse_too_large (struct relays *rs, const struct relay_desc *d,
+                        int64_t now_us)
 {
   deny (rs, d, RELAY_TOO_LARGE, "body_too_large", now_us);
 }
 
-/* Who asks; a refusal if the key opens nothing. */
+/* Find the caller's workspace by its key; refuses the request and returns
+   false if the key is not accepted. */
 static bool
 find_workspace (struct relays *rs, const struct relay_desc *d,
                 const struct fleet_route *route,
                 const struct fleet_workspace **workspace, int64_t now_us)
 {
   const struct fleet *f = rs->opts.fleet;
-  bool stale = fleet_age_us (f, now_us) > rs->opts.stale_us;
+  bool stale = fleet_conf_age_us (f, now_us) > rs->opts.key_max_age_us;
 
   *workspace = NULL;
   if (d->key != NULL)
@@ -284,37 +290,38 @@
   r->desc = *d;
   r->conf = fleet_conf_ref (rs->opts.fleet->conf);
   r->route = route;
-  r->service = fleet_split_pick (route, digest);
-  r->shared = need_service (rs, r->service);
+  r->service = fleet_split_select (route, digest);
+  r->service_state = get_or_add_service (rs, r->service);
   r->arrived_us = now_us;
-  r->end_us = now_us + route->timeout_us;
-  if (d->deadline_us > 0 && d->deadline_us < r->end_us)
-    r->end_us = d->deadline_us;
+  r->deadline_us = now_us + route->timeout_us;
+  if (d->deadline_us > 0 && d->deadline_us < r->deadline_us)
+    r->deadline_us = d->deadline_us;
   r->answer = g_string_new (NULL);
-  evt_init (&r->events, d->resume_after);
+  sse_init (&r->events, d->resume_after);
   APR_RING_ELEM_INIT (r, link);
   APR_RING_INSERT_TAIL (&rs->all, r, relay, link);
   rs->count++;
   met_add (MET_REQUESTS, 1);
   met_add (MET_RUNNING, 1);
-  budget_earn (&r->shared->budget);
+  budget_earn (&r->service_state->budget);
   if (!rs->sweep.armed)
-    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_US);
+    loop_arm (rs->opts.loop, &rs->sweep, now_us + SWEEP_INTERVAL_US);
   return r;
 }
 
-/* A VM that starts must not send on what the others know to crash endpoints:
-   after a kill of all VMs each would learn it anew. */
+/* A VM that starts must not forward requests that other VMs know to crash
+   endpoints.  Otherwise, after all VMs were killed, each of them would have to
+   see the crashes again. */
 static bool
 is_evidence_known (const struct relays *rs, int64_t now_us)
 {
   const struct relays_opts *o = &rs->opts;
 
-  return o->quar == NULL || o->evidence_known (o->quar_arg, now_us);
+  return o->quar == NULL || o->is_evidence_known (o->quar_arg, now_us);
 }
 
-/* A request that is placed from inside its door's call may end there, so its
-   end must not free it under the door. */
+/* The request may end within this call, and must not be freed before it
+   returns. */
 struct relay *
 relay_start (struct relays *rs, const struct relay_desc *d, int64_t now_us)
 {
@@ -338,18 +345,20 @@
     return NULL;
   if ((int64_t)d->body_len > f->conf->limits.body_bytes)
     {
-      relay_too_large (rs, d, now_us);
+      relay_refuse_too_large (rs, d, now_us);
       return NULL;
     }
   r = relay_new (rs, d, route, now_us);
   r->workspace = workspace;
-  share_ask (&r->shared->share, relay_workspace (r), work_of (d), now_us);
+  share_add_demand (&r->service_state->share, relay_workspace (r),
+                    requested_tokens (d), now_us);
   r->rank = relay_rank (r, now_us);
-  admit_ask (&r->shared->admit, r->rank, work_of (d), now_us);
-  /* Held as if a message were under way, so that it outlives this call. */
-  r->unpausing = true;
+  admit_add_demand (&r->service_state->admit, r->rank, requested_tokens (d),
+                    now_us);
+  /* As if unpause were queued, which keeps relay_finish from freeing it. */
+  r->unpause_posted = true;
   relay_place (r, now_us);
-  r->unpausing = false;
+  r->unpause_posted = false;
   if (!r->done)
     return r;
   relay_free (r);
@@ -364,7 +373,7 @@
   struct relay *r = arg;
   const struct relay_engine *e = &r->rs->opts.engine;
 
-  r->unpausing = false;
+  r->unpause_posted = false;
   if (r->done)
     relay_free (r);
   else if (r->call != NULL && r->paused)
@@ -374,32 +383,33 @@
     }
 }
 
-/* Posted, because the door and the engine's adapter must not call into each
-   other; only once half is free, so that it is worth it. */
+/* Posted, because the ingress and the engine adapter must not call into each
+   other.  The attempt goes on once half of the buffer is free, so that it is
+   not resumed for a few bytes. */
 void
 relay_drained (struct relay *r)
 {
-  if (!r->paused || r->unpausing
+  if (!r->paused || r->unpause_posted
       || r->desc.caller->pending (r->desc.arg) > r->rs->opts.stream_buffer / 2)
     return;
-  r->unpausing = true;
+  r->unpause_posted = true;
   r->unpause.run = on_unpause;
   r->unpause.arg = r;
   loop_post (r->rs->opts.loop, &r->unpause);
 }
 
 void
-relay_caller_gone (struct relay *r)
+relay_caller_disconnected (struct relay *r)
 {
   const struct relay_engine *e = &r->rs->opts.engine;
   int64_t now = loop_now_us ();
-  bool sent = r->handed_over || r->ran;
+  bool sent = r->handed_over || r->may_have_run;
 
   r->desc.caller = NULL;
   met_add (MET_CANCELS, 1);
-  if (sent && r->endpoint != NULL && r->first_us == 0
+  if (sent && r->endpoint != NULL && r->first_chunk_us == 0
       && r->route->kind == FLEET_STREAM)
-    relay_waited (r, now);
+    relay_record_wait (r, now);
   if (r->call != NULL)
     e->cancel (e->ctx, r->call);
   r->call = NULL;
@@ -409,7 +419,7 @@
 /* --- the requests of a worker ---------------------------------------- */
 
 static struct relaycrash *
-make_crash (struct relays *rs)
+new_crash_detection (struct relays *rs)
 {
   struct relaycrash_opts o = { .loop = rs->opts.loop, .quar = rs->opts.quar };
 
@@ -417,7 +427,7 @@
     return NULL;
   o.engine = &rs->opts.engine;
   o.clock_ms = rs->opts.clock_ms;
-  o.observed = rs->opts.observed;
+  o.on_evidence = rs->opts.on_evidence;
   o.arg = rs->opts.quar_arg;
   return relaycrash_new (&o);
 }
@@ -428,13 +438,14 @@
   struct relays *rs = g_new0 (struct relays, 1);
 
   rs->opts = *opts;
-  rs->random = opts->seed;
-  rs->crash = make_crash (rs);
+  rs->random_state = opts->seed;
+  rs->crash = new_crash_detection (rs);
   rs->sweep.fire = on_sweep;
   rs->sweep.arg = rs;
   rs->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rs->usual = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  rs->usual_timeouts
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   APR_RING_INIT (&rs->all, relay, link);
   return rs;
 }
@@ -446,7 +457,7 @@
   if (rs->crash != NULL)
     relaycrash_free (rs->crash);
   g_hash_table_destroy (rs->services);
-  g_hash_table_destroy (rs->usual);
+  g_hash_table_destroy (rs->usual_timeouts);
   g_free (rs);
 }
 
