--- a/api.c
+++ b/api.c
@@ -73,8 +73,8 @@
 {
   struct req *r = arg;
 
-  if (req_caller_gone (r))
-    req_abandon (r);
+  if (req_caller_disconnected (r))
+    req_close_disconnected (r);
 }
 
 static const struct job_caller job_caller = {
@@ -272,22 +272,23 @@
     job_caller_gone (r->job);
 }
 
-static const struct door_ops api_ops = {
+static const struct http_listener_ops api_ops = {
   .head = judge_head,
   .start = start,
   .drained = drained,
-  .gone = gone,
+  .closed = gone,
 };
 
 /* Open the door of the product's own interface. */
-struct door *
+struct http_listener *
 api_open (struct worker *w)
 {
   const struct cfg_vm *vm = cfg_vm (server_cfg (w->server));
-  struct door_opts o = { .ops = &api_ops, .close_from = PHASE_DRAINING };
+  struct http_listener_opts o
+      = { .ops = &api_ops, .close_from = PHASE_DRAINING };
 
   o.connections = (unsigned)(vm->connections / w->server->nworkers + 1);
-  o.idle_s = (unsigned)vm->header_timeout_s;
+  o.idle_timeout_s = (unsigned)vm->header_timeout_s;
   o.connection_memory = CONNECTION_MEMORY;
-  return door_open (w, w->server->listen_fd, &o);
+  return http_listener_open (w, w->server->listen_fd, &o);
 }
--- a/entry.c
+++ b/entry.c
@@ -35,30 +35,30 @@
 
 struct entry
 {
-  struct worker *worker;         /* where it runs */
-  struct cfg *settings;          /* a reference, for cfg */
-  const struct cfg_entry *cfg;   /* declared */
-  void *store;                   /* of the adapter */
-  struct fleet fleet;            /* beliefs */
-  struct follow *follow;         /* keeps them current */
-  struct orders *orders;         /* weights of endpoints */
-  struct parts parts;            /* what stores keep */
-  struct partfeed *feed;         /* keeps that current */
-  int64_t conf_row;              /* configuration that the feed knows */
-  int64_t duty_us;               /* this VM gave orders last */
-  int64_t era;                   /* of the store, as seen last */
-  struct load_table *book;       /* work of other VMs */
-  struct tell *tell;             /* tells them of ours; NULL if unset */
-  struct quar *quar;             /* requests that crash endpoints */
-  struct quarfeed *quarfeed;     /* shares that with other VMs */
-  struct relays *relays;         /* requests under way */
-  struct entry_front front_with; /* what the next one works with */
-  struct door *front;            /* callers */
-  struct door *ready;            /* the balancer */
-  int front_fd;                  /* listening socket */
-  int ready_fd;                  /* listening socket */
-  struct loop_timer sweep;       /* missing entries */
-  bool was_ready;                /* as logged last */
+  struct worker *worker;                /* where it runs */
+  struct cfg *settings;                 /* a reference, for cfg */
+  const struct cfg_entry *cfg;          /* declared */
+  void *store;                          /* of the adapter */
+  struct fleet fleet;                   /* beliefs */
+  struct follow *follow;                /* keeps them current */
+  struct orders *orders;                /* weights of endpoints */
+  struct parts parts;                   /* what stores keep */
+  struct partfeed *feed;                /* keeps that current */
+  int64_t conf_row;                     /* configuration that the feed knows */
+  int64_t duty_us;                      /* this VM gave orders last */
+  int64_t era;                          /* of the store, as seen last */
+  struct load_table *book;              /* work of other VMs */
+  struct tell *tell;                    /* tells them of ours; NULL if unset */
+  struct quar *quar;                    /* requests that crash endpoints */
+  struct quarfeed *quarfeed;            /* shares that with other VMs */
+  struct relays *relays;                /* requests under way */
+  struct entry_listener_ctx front_with; /* what the next one works with */
+  struct http_listener *front;          /* callers */
+  struct http_listener *ready;          /* the balancer */
+  int front_fd;                         /* listening socket */
+  int ready_fd;                         /* listening socket */
+  struct loop_timer sweep;              /* missing entries */
+  bool was_ready;                       /* as logged last */
 };
 
 static int64_t
@@ -75,22 +75,22 @@
  * that keys count for nothing.
  */
 bool
-entry_ready (const struct entry *e, int64_t now_us)
+entry_is_ready (const struct entry *e, int64_t now_us)
 {
   struct server *s = e->worker->server;
   int64_t stale = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
 
   return server_phase (s) < PHASE_NOTICE && e->fleet.conf != NULL
-         && e->fleet.listed && quarfeed_known (e->quarfeed, now_us)
+         && e->fleet.listed && quarfeed_is_ready (e->quarfeed, now_us)
          && fleet_age_us (&e->fleet, now_us) < stale;
 }
 
 static void
 answer_ready (struct req *r, const char *method)
 {
-  struct entry *e = r->door->owner;
+  struct entry *e = r->listener->owner;
   int64_t now = loop_now_us ();
-  bool ready = entry_ready (e, now);
+  bool ready = entry_is_ready (e, now);
 
   (void)method;
   if (ready != e->was_ready)
@@ -108,7 +108,7 @@
   (void)r;
 }
 
-static const struct door_ops ready_ops = {
+static const struct http_listener_ops ready_ops = {
   .head = answer_ready,
   .start = no_body,
 };
@@ -147,7 +147,7 @@
   orders_look (e->orders, now_us);
   if (e->era != 0 && follow_era (e->follow) != e->era)
     {
-      quarfeed_older_copy (e->quarfeed, now_us);
+      quarfeed_store_restored (e->quarfeed, now_us);
       if (e->tell != NULL)
         tell_older_copy (e->tell, now_us);
     }
@@ -239,7 +239,7 @@
 {
   struct entry *e = arg;
 
-  return quarfeed_known (e->quarfeed, now_us);
+  return quarfeed_is_ready (e->quarfeed, now_us);
 }
 
 static void
@@ -360,7 +360,7 @@
 open_doors (struct entry *e)
 {
   struct server *s = e->worker->server;
-  struct door_opts o = { .ops = &ready_ops, .owner = e };
+  struct http_listener_opts o = { .ops = &ready_ops, .owner = e };
 
   e->front_fd = server_listen (s, e->cfg->listen);
   e->ready_fd = server_listen (s, e->cfg->ready);
@@ -368,12 +368,13 @@
     return false;
   o.close_from = PHASE_STOPPED;
   o.connections = READY_CONNECTIONS;
-  o.idle_s = READY_IDLE_S;
+  o.idle_timeout_s = READY_IDLE_S;
   o.connection_memory = READY_MEMORY;
-  e->ready = door_open (e->worker, e->ready_fd, &o);
+  e->ready = http_listener_open (e->worker, e->ready_fd, &o);
   e->front_with.relays = e->relays;
   e->front_with.fleet = &e->fleet;
-  e->front = entry_adapter.door (e->worker, e->front_fd, &e->front_with);
+  e->front
+      = entry_adapter.open_listener (e->worker, e->front_fd, &e->front_with);
   return e->ready != NULL && e->front != NULL;
 }
 
@@ -420,7 +421,7 @@
 /* --- end ------------------------------------------------------------- */
 
 void
-entry_leave (struct entry *e)
+entry_prepare_stop (struct entry *e)
 {
   orders_stop (e->orders);
 }
@@ -438,19 +439,19 @@
 }
 
 void
-entry_close_doors (struct entry *e)
+entry_close_listeners (struct entry *e)
 {
-  door_close (e->front);
-  door_close (e->ready);
+  http_listener_close (e->front);
+  http_listener_close (e->ready);
 }
 
 int
-entry_waiting (const struct entry *e)
+entry_pending_calls (const struct entry *e)
 {
   if (e == NULL)
     return 0;
   return follow_waiting (e->follow) + orders_waiting (e->orders)
-         + partfeed_waiting (e->feed) + quarfeed_waiting (e->quarfeed)
+         + partfeed_waiting (e->feed) + quarfeed_pending_calls (e->quarfeed)
          + (e->tell != NULL ? tell_waiting (e->tell) : 0);
 }
 
--- a/entry.h
+++ b/entry.h
@@ -14,7 +14,7 @@
 #include "tell.h"
 
 /* What a door for callers works with; stays until the door is closed. */
-struct entry_front
+struct entry_listener_ctx
 {
   struct relays *relays; /* where requests go */
   struct fleet *fleet;   /* for the limits in force */
@@ -33,8 +33,8 @@
   void (*partfeed_ops) (struct partfeed_ops *ops, struct xfer_pool *pool);
   void (*engine_ops) (struct relay_engine *ops, struct xfer_pool *pool);
   /* The door for callers. */
-  struct door *(*door) (struct worker *w, int listen_fd,
-                        struct entry_front *front);
+  struct http_listener *(*open_listener) (struct worker *w, int listen_fd,
+                                          struct entry_listener_ctx *front);
 };
 
 /* The adapter that is built in. */
@@ -45,15 +45,15 @@
 /* Start on W's loop; NULL if an address cannot be had. */
 struct entry *entry_new (struct worker *w);
 /* On W's thread: the VM is to stop, so others should do its duties. */
-void entry_leave (struct entry *e);
+void entry_prepare_stop (struct entry *e);
 /* On W's thread: ask the platform nothing more. */
 void entry_stop (struct entry *e);
 /* On W's thread, at its end. */
-void entry_close_doors (struct entry *e);
+void entry_close_listeners (struct entry *e);
 void entry_free (struct entry *e);
 /* Calls to the platform under way, whose answers nobody needs at a stop. */
-int entry_waiting (const struct entry *e);
+int entry_pending_calls (const struct entry *e);
 /* Whether requests with a key can be served now. */
-bool entry_ready (const struct entry *e, int64_t now_us);
+bool entry_is_ready (const struct entry *e, int64_t now_us);
 
 #endif
--- a/hin.c
+++ b/hin.c
@@ -52,7 +52,7 @@
 static void
 close_when_stopping (struct req *r)
 {
-  if ((int)server_phase (r->worker->server) >= r->door->close_from)
+  if ((int)server_phase (r->worker->server) >= r->listener->close_from)
     MHD_add_response_header (r->response, "Connection", "close");
 }
 
@@ -105,14 +105,14 @@
   if (req_stream_pending (r) > 0)
     {
       n = take_out (r, to, max);
-      if (r->door->ops->drained != NULL)
-        r->door->ops->drained (r);
+      if (r->listener->ops->drained != NULL)
+        r->listener->ops->drained (r);
       return n;
     }
   /* Ending without the last chunk shows the break to any HTTP client. */
-  if (r->out_broken)
+  if (r->out_aborted)
     return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (r->out_end)
+  if (r->out_ended)
     return MHD_CONTENT_READER_END_OF_STREAM;
   r->suspended = true;
   MHD_suspend_connection (r->conn);
@@ -147,8 +147,8 @@
 {
   if (whole && name != NULL)
     MHD_add_response_footer (r->response, name, value);
-  r->out_end = whole;
-  r->out_broken = !whole;
+  r->out_ended = whole;
+  r->out_aborted = !whole;
   resume (r);
 }
 
@@ -160,7 +160,7 @@
  * socket finds the close without taking bytes from the daemon.
  */
 bool
-req_caller_gone (struct req *r)
+req_caller_disconnected (struct req *r)
 {
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (r->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -175,10 +175,10 @@
 
 /* Let the daemon close the connection of a caller that went away. */
 void
-req_abandon (struct req *r)
+req_close_disconnected (struct req *r)
 {
-  r->gone = true;
-  r->out_broken = true;
+  r->is_disconnected = true;
+  r->out_aborted = true;
   resume (r);
 }
 
@@ -201,11 +201,12 @@
 }
 
 static struct req *
-req_new (struct door *d, struct MHD_Connection *conn, const char *target)
+req_new (struct http_listener *d, struct MHD_Connection *conn,
+         const char *target)
 {
   struct req *r = g_new0 (struct req, 1);
 
-  r->door = d;
+  r->listener = d;
   r->worker = d->worker;
   r->conn = conn;
   r->target = g_strdup (target);
@@ -244,8 +245,8 @@
 static void
 req_free (struct req *r)
 {
-  if (r->door->ops->gone != NULL)
-    r->door->ops->gone (r);
+  if (r->listener->ops->closed != NULL)
+    r->listener->ops->closed (r);
   if (r->response != NULL)
     MHD_destroy_response (r->response);
   drop_body (r);
@@ -294,7 +295,7 @@
 {
   r->started = true;
   r->arrived_us = loop_now_us ();
-  r->door->ops->start (r);
+  r->listener->ops->start (r);
   /* Who wants the body for longer has taken it. */
   drop_body (r);
 }
@@ -366,7 +367,7 @@
   r->path = g_strdup (url);
   if (!framing_is_clear (r))
     return refuse_framing (r);
-  r->door->ops->head (r, method);
+  r->listener->ops->head (r, method);
   return r->response != NULL ? queue_response (r) : MHD_YES;
 }
 
@@ -383,7 +384,7 @@
     return on_head (r, url, method);
   if (*len > 0)
     return take_upload (r, data, len);
-  if (r->gone)
+  if (r->is_disconnected)
     return MHD_NO;
   if (!r->started && r->response == NULL)
     start_request (r);
@@ -426,7 +427,7 @@
 
 /* Close the caller's connection once it has been idle for IDLE_S. */
 void
-req_set_idle (struct req *r, unsigned idle_s)
+req_set_idle_timeout (struct req *r, unsigned idle_s)
 {
   MHD_set_connection_option (r->conn, MHD_CONNECTION_OPTION_TIMEOUT, idle_s);
 }
@@ -471,7 +472,7 @@
 static void
 run_daemon (void *arg)
 {
-  struct door *d = arg;
+  struct http_listener *d = arg;
 
   MHD_run (d->daemon);
 }
@@ -479,7 +480,7 @@
 static int64_t
 daemon_timeout_us (void *arg)
 {
-  struct door *d = arg;
+  struct http_listener *d = arg;
   MHD_UNSIGNED_LONG_LONG ms;
 
   if (MHD_get_timeout (d->daemon, &ms) != MHD_YES)
@@ -488,10 +489,11 @@
 }
 
 /* Open a door on W's loop; LISTEN_FD stays the caller's. */
-struct door *
-door_open (struct worker *w, int listen_fd, const struct door_opts *o)
+struct http_listener *
+http_listener_open (struct worker *w, int listen_fd,
+                    const struct http_listener_opts *o)
 {
-  struct door *d = g_new0 (struct door, 1);
+  struct http_listener *d = g_new0 (struct http_listener, 1);
   const union MHD_DaemonInfo *info;
 
   d->worker = w;
@@ -503,7 +505,7 @@
       MHD_OPTION_LISTEN_SOCKET, dup (listen_fd), MHD_OPTION_NOTIFY_COMPLETED,
       on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, NULL,
       MHD_OPTION_URI_LOG_CALLBACK, on_target, d, MHD_OPTION_CONNECTION_LIMIT,
-      o->connections, MHD_OPTION_CONNECTION_TIMEOUT, o->idle_s,
+      o->connections, MHD_OPTION_CONNECTION_TIMEOUT, o->idle_timeout_s,
       MHD_OPTION_CONNECTION_MEMORY_LIMIT, o->connection_memory,
       MHD_OPTION_CONNECTION_MEMORY_INCREMENT, (size_t)1024,
       MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
@@ -524,7 +526,7 @@
 
 /* Accept no more connections; those that stand go on. */
 void
-door_quiesce (struct door *d)
+http_listener_quiesce (struct http_listener *d)
 {
   MHD_socket fd;
 
@@ -537,7 +539,7 @@
 }
 
 void
-door_close (struct door *d)
+http_listener_close (struct http_listener *d)
 {
   if (d == NULL)
     return;
--- a/jobreply.c
+++ b/jobreply.c
@@ -77,7 +77,7 @@
   reply.body = text;
   reply.len = strlen (text);
   reply.outcome = out_name (outcome);
-  reply.retry_after_s = refusal_retry_s (retry_after_us);
+  reply.retry_after_s = refusal_retry_after_s (retry_after_us);
   j->caller->reply (j->caller_arg, &reply);
 }
 
--- a/libserver.h
+++ b/libserver.h
@@ -77,7 +77,7 @@
   int index;                          /* number */
   GThread *thread;                    /* that runs the loop */
   struct loop *loop;                  /* events */
-  struct door *door;                  /* callers' connections */
+  struct http_listener *door;         /* callers' connections */
   struct xfer_pool *pool;             /* transfers to endpoints */
   struct endpoint_ops endpoints;      /* adapter */
   struct object_ops objects;          /* adapter; its ctx is NULL if unset */
@@ -157,14 +157,14 @@
 
 const struct refusal *refusal_find (const char *code);
 /* A wait in whole seconds, for Retry-After; rounded up. */
-int refusal_retry_s (int64_t us);
+int refusal_retry_after_s (int64_t us);
 
 /* --- requests that come in (hin.c) ----------------------------------- */
 
-struct door;
+struct http_listener;
 
 /* What a door does with its requests; all on its worker's thread. */
-struct door_ops
+struct http_listener_ops
 {
   /* The head was read: set body_max, or reply at once. */
   void (*head) (struct req *r, const char *method);
@@ -173,30 +173,30 @@
   /* The reader took bytes of a stream; may be NULL. */
   void (*drained) (struct req *r);
   /* The request ends, whatever became of it; may be NULL. */
-  void (*gone) (struct req *r);
+  void (*closed) (struct req *r);
 };
 
-struct door_opts
+struct http_listener_opts
 {
-  const struct door_ops *ops; /* callbacks */
-  void *owner;                /* for them, as door->owner */
-  int close_from;             /* enum phase from which replies close */
-  unsigned connections;       /* held at once */
-  unsigned idle_s;            /* seconds without a byte */
-  size_t connection_memory;   /* bytes a connection, for head and buffers */
+  const struct http_listener_ops *ops; /* callbacks */
+  void *owner;                         /* for them, as door->owner */
+  int close_from;           /* enum phase from which replies close */
+  unsigned connections;     /* held at once */
+  unsigned idle_timeout_s;  /* seconds without a byte */
+  size_t connection_memory; /* bytes a connection, for head and buffers */
 };
 
 /* One listening address on one worker. */
-struct door
+struct http_listener
 {
-  struct worker *worker;      /* where it runs */
-  const struct door_ops *ops; /* callbacks */
-  void *owner;                /* of the callbacks */
-  int close_from;             /* enum phase from which replies close */
-  struct MHD_Daemon *daemon;  /* connections */
-  struct loop_fd *fd;         /* its epoll descriptor */
-  struct loop_hook hook;      /* runs it each turn */
-  bool quiesced;              /* accepts no more connections */
+  struct worker *worker;               /* where it runs */
+  const struct http_listener_ops *ops; /* callbacks */
+  void *owner;                         /* of the callbacks */
+  int close_from;            /* enum phase from which replies close */
+  struct MHD_Daemon *daemon; /* connections */
+  struct loop_fd *fd;        /* its epoll descriptor */
+  struct loop_hook hook;     /* runs it each turn */
+  bool quiesced;             /* accepts no more connections */
 };
 
 /* Why a body was not taken. */
@@ -226,34 +226,34 @@
 /* A caller's request; belongs to its worker's thread. */
 struct req
 {
-  struct door *door;             /* where it came in */
-  void *work;                    /* of the door's owner */
-  struct worker *worker;         /* where it runs */
-  struct MHD_Connection *conn;   /* its connection */
-  const struct req_route *route; /* what was asked for */
-  char *target;                  /* path and query as they were sent */
-  bool head_seen;                /* the head was judged */
-  char *path;                    /* whole path, decoded */
-  const char *rest;              /* path behind the route's prefix */
-  char id[ID_SIZE];              /* request id */
-  int workspace;                 /* index, or -1 */
-  int operator_index;            /* index, or -1 */
-  GString *body;                 /* request body */
-  size_t body_max;               /* bytes allowed */
-  enum req_excess excess;        /* why the body was not taken */
-  size_t dropped;                /* bytes dropped since then */
-  bool started;                  /* start was called */
-  bool suspended;                /* its connection waits */
-  bool gone;                     /* the caller went away */
-  int64_t arrived_us;            /* when the body was whole */
-  struct MHD_Response *response; /* reply to queue */
-  int status;                    /* its HTTP status */
-  bool queued;                   /* the reply was queued */
-  GString *out;                  /* stream bytes not yet written */
-  size_t out_used;               /* of these, already written */
-  bool out_end;                  /* no more will come */
-  bool out_broken;               /* the stream ends visibly broken */
-  struct job *job;               /* the work it asked for, or NULL */
+  struct http_listener *listener; /* where it came in */
+  void *work;                     /* of the door's owner */
+  struct worker *worker;          /* where it runs */
+  struct MHD_Connection *conn;    /* its connection */
+  const struct req_route *route;  /* what was asked for */
+  char *target;                   /* path and query as they were sent */
+  bool head_seen;                 /* the head was judged */
+  char *path;                     /* whole path, decoded */
+  const char *rest;               /* path behind the route's prefix */
+  char id[ID_SIZE];               /* request id */
+  int workspace;                  /* index, or -1 */
+  int operator_index;             /* index, or -1 */
+  GString *body;                  /* request body */
+  size_t body_max;                /* bytes allowed */
+  enum req_excess excess;         /* why the body was not taken */
+  size_t dropped;                 /* bytes dropped since then */
+  bool started;                   /* start was called */
+  bool suspended;                 /* its connection waits */
+  bool is_disconnected;           /* the caller went away */
+  int64_t arrived_us;             /* when the body was whole */
+  struct MHD_Response *response;  /* reply to queue */
+  int status;                     /* its HTTP status */
+  bool queued;                    /* the reply was queued */
+  GString *out;                   /* stream bytes not yet written */
+  size_t out_used;                /* of these, already written */
+  bool out_ended;                 /* no more will come */
+  bool out_aborted;               /* the stream ends visibly broken */
+  struct job *job;                /* the work it asked for, or NULL */
 };
 
 /* What a reply says besides its body. */
@@ -274,7 +274,7 @@
 /* Take over the body, which counts as held until it is freed. */
 GString *req_take_body (struct req *r);
 void req_free_body (struct server *s, GString *body);
-void req_set_idle (struct req *r, unsigned idle_s);
+void req_set_idle_timeout (struct req *r, unsigned idle_s);
 void req_respond (struct req *r, int status, const char *const *lines,
                   const char *body, size_t len);
 void req_stream_open (struct req *r, int status, const char *const *lines);
@@ -282,17 +282,18 @@
 void req_stream_close (struct req *r, bool whole, const char *name,
                        const char *value);
 size_t req_stream_pending (const struct req *r);
-bool req_caller_gone (struct req *r);
-void req_abandon (struct req *r);
+bool req_caller_disconnected (struct req *r);
+void req_close_disconnected (struct req *r);
 
-struct door *door_open (struct worker *w, int listen_fd,
-                        const struct door_opts *opts);
-void door_quiesce (struct door *d);
-void door_close (struct door *d);
+struct http_listener *
+http_listener_open (struct worker *w, int listen_fd,
+                    const struct http_listener_opts *opts);
+void http_listener_quiesce (struct http_listener *d);
+void http_listener_close (struct http_listener *d);
 
 /* --- the product's own interface (api.c) ----------------------------- */
 
-struct door *api_open (struct worker *w);
+struct http_listener *api_open (struct worker *w);
 
 /* --- replies of it (reply.c) ----------------------------------------- */
 
--- a/quar.c
+++ b/quar.c
@@ -41,9 +41,9 @@
 /* All that is known of a request. */
 struct record
 {
-  struct reqid id;                              /* which */
-  struct known_crash crashes[QUAR_CRASHES_MAX]; /* oldest first */
-  int n;                                        /* entries in crashes */
+  struct reqid id;                                          /* which */
+  struct known_crash crashes[QUAR_CRASHES_PER_REQUEST_MAX]; /* oldest first */
+  int n;           /* entries in crashes */
   int64_t done_ms; /* last answered whole then; 0: never */
   bool own_done;   /* this VM saw that */
 };
@@ -87,7 +87,7 @@
 }
 
 bool
-quar_any (const struct quar *q)
+quar_has_records (const struct quar *q)
 {
   return g_hash_table_size (q->records) > 0;
 }
@@ -100,7 +100,7 @@
 }
 
 bool
-quar_suspects (const struct quar *q, const struct reqid *id)
+quar_has_crashes (const struct quar *q, const struct reqid *id)
 {
   const struct record *r = g_hash_table_lookup (q->records, id);
 
@@ -207,9 +207,10 @@
     return merge_crash (r, old, &f->crash, own);
   if (f->crash.at_ms <= r->done_ms)
     return false;
-  if (r->n == QUAR_CRASHES_MAX && r->crashes[0].is.at_ms >= f->crash.at_ms)
+  if (r->n == QUAR_CRASHES_PER_REQUEST_MAX
+      && r->crashes[0].is.at_ms >= f->crash.at_ms)
     return false;
-  if (r->n == QUAR_CRASHES_MAX)
+  if (r->n == QUAR_CRASHES_PER_REQUEST_MAX)
     drop_crash (r, 0);
   insert_crash (r, &f->crash, own);
   return true;
@@ -235,9 +236,9 @@
 }
 
 bool
-quar_take (struct quar *q, const struct quar_fact *f, bool own)
+quar_add_fact (struct quar *q, const struct quar_fact *f, bool own)
 {
-  return f->done ? take_done (q, f, own) : take_crash (q, f, own);
+  return f->completed ? take_done (q, f, own) : take_crash (q, f, own);
 }
 
 /* --- verdict --------------------------------------------------------- */
@@ -432,26 +433,26 @@
   int64_t last = 0;
   int i;
 
-  *v = (struct quar_verdict){ .chance = 1 };
+  *v = (struct quar_verdict){ .probability = 1 };
   for (i = 0; i < r->n; i++, before = e)
     {
       e = &r->crashes[i].is;
       if ((v->crashes > 0 && !is_apart (e, last, before->at_ms))
           || is_explained (q, r, e->endpoint))
         continue;
-      v->chance *= MIN (1.0, rate * (double)MAX (e->ran_ms, RAN_MIN_MS));
+      v->probability *= MIN (1.0, rate * (double)MAX (e->ran_ms, RAN_MIN_MS));
       last = e->at_ms;
       v->crashes++;
     }
-  v->until_ms
-      = last
-        + (v->chance <= CHANCE_MAX ? hold_of (q, v->crashes) : q->hold_ms);
+  v->until_ms = last
+                + (v->probability <= CHANCE_MAX ? hold_of (q, v->crashes)
+                                                : q->hold_ms);
 }
 
 static bool
 is_beyond_chance (const struct quar_verdict *v)
 {
-  return v->crashes >= CRASHES_MIN && v->chance <= CHANCE_MAX;
+  return v->crashes >= CRASHES_MIN && v->probability <= CHANCE_MAX;
 }
 
 /*
@@ -483,11 +484,11 @@
 }
 
 struct quar_verdict
-quar_judge (const struct quar *q, const struct reqid *id, int endpoints,
-            int64_t now_ms)
+quar_evaluate (const struct quar *q, const struct reqid *id, int endpoints,
+               int64_t now_ms)
 {
   const struct record *r = g_hash_table_lookup (q->records, id);
-  struct quar_verdict v = { .chance = 1 };
+  struct quar_verdict v = { .probability = 1 };
   g_autoptr (GHashTable) caused = NULL;
   g_autoptr (GArray) crashes = NULL;
 
@@ -496,10 +497,10 @@
   crashes = all_crashes (q);
   caused = crashes_with_cause (q, crashes, endpoints);
   weigh (q, r, rate_of_others (crashes, r, caused, endpoints), &v);
-  v.held = (v.crashes >= CRASHES_SURE || is_beyond_chance (&v))
-           && now_ms < v.until_ms;
-  v.suspect = !v.held && v.crashes >= CRASHES_MIN && v.chance <= CHANCE_SUSPECT
-              && now_ms < v.until_ms;
+  v.is_quarantined = (v.crashes >= CRASHES_SURE || is_beyond_chance (&v))
+                     && now_ms < v.until_ms;
+  v.is_suspect = !v.is_quarantined && v.crashes >= CRASHES_MIN
+                 && v.probability <= CHANCE_SUSPECT && now_ms < v.until_ms;
   return v;
 }
 
@@ -541,14 +542,14 @@
       }
   if ((all || r->own_done) && r->done_ms > 0 && out->len < max)
     {
-      f.done = true;
+      f.completed = true;
       f.crash = (struct quar_crash){ .at_ms = r->done_ms };
       g_array_append_val (out, f);
     }
 }
 
 void
-quar_own (const struct quar *q, GArray *out, guint max)
+quar_own_facts (const struct quar *q, GArray *out, guint max)
 {
   g_autoptr (GPtrArray) list = records_worst_first (q);
   guint i;
@@ -558,7 +559,7 @@
 }
 
 void
-quar_worst (const struct quar *q, GArray *out, guint max)
+quar_worst_facts (const struct quar *q, GArray *out, guint max)
 {
   g_autoptr (GPtrArray) list = records_worst_first (q);
   guint i;
@@ -568,17 +569,17 @@
 }
 
 guint
-quar_count_own (const struct quar *q)
+quar_count_own_facts (const struct quar *q)
 {
   g_autoptr (GArray) facts
       = g_array_new (FALSE, FALSE, sizeof (struct quar_fact));
 
-  quar_own (q, facts, G_MAXUINT);
+  quar_own_facts (q, facts, G_MAXUINT);
   return facts->len;
 }
 
 bool
-quar_is_old (const GArray *facts, int64_t now_ms)
+quar_is_expired (const GArray *facts, int64_t now_ms)
 {
   guint i;
 
--- a/quar.h
+++ b/quar.h
@@ -20,7 +20,8 @@
 
 #include "reqid.h"
 
-#define QUAR_CRASHES_MAX 8     /* remembered of one request, the newest */
+#define QUAR_CRASHES_PER_REQUEST_MAX                                          \
+  8                            /* remembered of one request, the newest */
 #define QUAR_REQUESTS_MAX 1024 /* remembered in all */
 
 /* An endpoint crashed while it had the request. */
@@ -35,18 +36,18 @@
 struct quar_fact
 {
   struct reqid id; /* the request */
-  bool done; /* it was answered whole at crash.at_ms; else CRASH counts */
+  bool completed; /* it was answered whole at crash.at_ms; else CRASH counts */
   struct quar_crash crash; /* see above */
 };
 
 struct quar_verdict
 {
-  bool held;        /* it is refused */
-  bool suspect;     /* not yet, but it may run at one place at a time only */
-  int crashes;      /* moments at which endpoints crashed under it, that no
-                    other request explains better */
-  double chance;    /* that these came together by chance */
-  int64_t until_ms; /* held until then */
+  bool is_quarantined; /* it is refused */
+  bool is_suspect;    /* not yet, but it may run at one place at a time only */
+  int crashes;        /* moments at which endpoints crashed under it, that no
+                      other request explains better */
+  double probability; /* that these came together by chance */
+  int64_t until_ms;   /* held until then */
 };
 
 struct quar;
@@ -57,24 +58,25 @@
 
 /* Take a fact; OWN says that this VM saw it, and answers for it to others.
    False if it says nothing new. */
-bool quar_take (struct quar *q, const struct quar_fact *f, bool own);
+bool quar_add_fact (struct quar *q, const struct quar_fact *f, bool own);
 /* Whether anything is known of any request. */
-bool quar_any (const struct quar *q);
+bool quar_has_records (const struct quar *q);
 /* Whether a crash under the request is known. */
-bool quar_suspects (const struct quar *q, const struct reqid *id);
+bool quar_has_crashes (const struct quar *q, const struct reqid *id);
 /* The verdict, where the request's service has so many ENDPOINTS. */
-struct quar_verdict quar_judge (const struct quar *q, const struct reqid *id,
-                                int endpoints, int64_t now_ms);
+struct quar_verdict quar_evaluate (const struct quar *q,
+                                   const struct reqid *id, int endpoints,
+                                   int64_t now_ms);
 /* Forget what is too old to count. */
 void quar_expire (struct quar *q, int64_t now_ms);
 
 /* Facts that this VM saw itself, or all of requests with three crashes or
    more; appended to OUT, an array of struct quar_fact, up to MAX. */
-void quar_own (const struct quar *q, GArray *out, guint max);
-void quar_worst (const struct quar *q, GArray *out, guint max);
+void quar_own_facts (const struct quar *q, GArray *out, guint max);
+void quar_worst_facts (const struct quar *q, GArray *out, guint max);
 /* How many facts quar_own would tell. */
-guint quar_count_own (const struct quar *q);
+guint quar_count_own_facts (const struct quar *q);
 /* Whether none of FACTS can count any more, of whatever request. */
-bool quar_is_old (const GArray *facts, int64_t now_ms);
+bool quar_is_expired (const GArray *facts, int64_t now_ms);
 
 #endif
--- a/quarfeed.c
+++ b/quarfeed.c
@@ -89,7 +89,7 @@
 
   if (now_ms > 0 && g.crash.at_ms > now_ms + AHEAD_MAX_MS)
     g.crash.at_ms = now_ms;
-  return quar_take (f->opts.quar, &g, own);
+  return quar_add_fact (f->opts.quar, &g, own);
 }
 
 static guint
@@ -123,8 +123,8 @@
 
   if (f->opts.send == NULL || !f->has_key)
     return;
-  quar_worst (f->opts.quar, facts, QUARWIRE_DATAGRAM_MAX / 2);
-  quar_own (f->opts.quar, facts, QUARWIRE_DATAGRAM_MAX);
+  quar_worst_facts (f->opts.quar, facts, QUARWIRE_DATAGRAM_MAX / 2);
+  quar_own_facts (f->opts.quar, facts, QUARWIRE_DATAGRAM_MAX);
   if (facts->len == 0)
     return;
   datagram = quarwire_seal (facts, f->key);
@@ -170,20 +170,21 @@
 }
 
 static void
-on_written (void *arg, const struct quar_rows *rows)
+on_written (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
   int64_t now = loop_now_us ();
 
   f->writing = false;
-  f->dirty |= rows->code != QUAR_ROWS_OK;
+  f->dirty |= rows->status != QUAR_ROWS_OK;
   log_event (LOG_LEVEL_INFO, "evidence",
              "source=table outcome=%s facts=%u took_us=%" G_GINT64_FORMAT,
-             rows->code == QUAR_ROWS_OK ? "written" : "not_written",
+             rows->status == QUAR_ROWS_OK ? "written" : "not_written",
              f->written, (gint64)(now - f->wrote_us));
   if (f->dirty)
-    plan_write (f, rows->code == QUAR_ROWS_OK ? f->wrote_us + WRITE_GAP_US
-                                              : now + drawn (f, WRITE_GAP_US));
+    plan_write (f, rows->status == QUAR_ROWS_OK
+                       ? f->wrote_us + WRITE_GAP_US
+                       : now + drawn (f, WRITE_GAP_US));
 }
 
 static void
@@ -197,7 +198,7 @@
      be written over.  After a write that is under way this is planned anew. */
   if (!f->known || f->writing)
     return;
-  quar_own (f->opts.quar, facts, QUARWIRE_ROW_MAX);
+  quar_own_facts (f->opts.quar, facts, QUARWIRE_ROW_MAX);
   if (facts->len > 0)
     value = quarwire_encode (facts, QUARWIRE_ROW_MAX);
   f->dirty = false;
@@ -243,7 +244,7 @@
 }
 
 static void
-on_offered (void *arg, const struct quar_rows *rows)
+on_offered (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
   guint i;
@@ -251,11 +252,11 @@
   f->offering = false;
   /* Whoever was first gave the key; of a call without an answer the next poll
      tells. */
-  for (i = 0; rows->code == QUAR_ROWS_CONFLICT && i < rows->rows->len; i++)
+  for (i = 0; rows->status == QUAR_ROWS_CONFLICT && i < rows->rows->len; i++)
     if (strcmp (g_array_index (rows->rows, struct quar_row, i).key, KEY_ROW)
         == 0)
       take_key (f, &g_array_index (rows->rows, struct quar_row, i));
-  if (rows->code == QUAR_ROWS_OK)
+  if (rows->status == QUAR_ROWS_OK)
     f->has_key = f->key_listed = true;
 }
 
@@ -278,7 +279,7 @@
 /* --- rows ------------------------------------------------------------ */
 
 static void
-on_collected (void *arg, const struct quar_rows *rows)
+on_collected (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
 
@@ -324,7 +325,7 @@
   if (own && !f->known)
     f->written = facts->len;
   take_facts (f, facts, own && !f->known, "table", now_us);
-  if (now_ms > 0 && quar_is_old (facts, now_ms))
+  if (now_ms > 0 && quar_is_expired (facts, now_ms))
     collect (f, row);
 }
 
@@ -333,7 +334,7 @@
 static void ask (struct quarfeed *f, int64_t now_us);
 
 static void
-on_rows (void *arg, const struct quar_rows *rows)
+on_rows (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
   int64_t now = loop_now_us ();
@@ -343,12 +344,12 @@
   if (f->stopped)
     return;
   /* What was lost with it may be this VM's own row. */
-  if (rows->code == QUAR_ROWS_HISTORY_LOST)
+  if (rows->status == QUAR_ROWS_HISTORY_EXPIRED)
     {
       f->reread = true;
       f->dirty = true;
     }
-  if (rows->code != QUAR_ROWS_OK)
+  if (rows->status != QUAR_ROWS_OK)
     {
       f->reread |= !f->key_listed;
       loop_arm (f->opts.loop, &f->poll, now + drawn (f, f->pause_us));
@@ -403,7 +404,7 @@
 /* A poll that is under way may go on waiting in the new era; the read comes
    after it. */
 void
-quarfeed_older_copy (struct quarfeed *f, int64_t now_us)
+quarfeed_store_restored (struct quarfeed *f, int64_t now_us)
 {
   f->reread = true;
   f->dirty = true;
@@ -424,18 +425,18 @@
   struct quarfeed *f = arg;
   int64_t now_ms = f->opts.clock_ms (f->opts.arg, now_us);
 
-  if (now_ms > 0 && quar_any (f->opts.quar))
+  if (now_ms > 0 && quar_has_records (f->opts.quar))
     {
       quar_expire (f->opts.quar, now_ms);
       /* The row shrinks with what is kept. */
-      if (quar_count_own (f->opts.quar) != f->written)
+      if (quar_count_own_facts (f->opts.quar) != f->written)
         plan_write (f, now_us);
     }
   loop_arm (f->opts.loop, &f->expire, now_us + EXPIRE_US);
 }
 
 bool
-quarfeed_known (const struct quarfeed *f, int64_t now_us)
+quarfeed_is_ready (const struct quarfeed *f, int64_t now_us)
 {
   return f->known || now_us - f->started_us > KNOWN_MAX_US;
 }
@@ -485,7 +486,7 @@
 }
 
 int
-quarfeed_waiting (const struct quarfeed *f)
+quarfeed_pending_calls (const struct quarfeed *f)
 {
   return f->polling + f->writing + f->offering;
 }
--- a/quarfeed.h
+++ b/quarfeed.h
@@ -20,22 +20,23 @@
   GByteArray *value; /* NULL once removed */
 };
 
-enum quar_rows_code
+enum quar_rows_status
 {
   QUAR_ROWS_OK,
-  QUAR_ROWS_HISTORY_LOST, /* changes since then are not to be had: read all */
-  QUAR_ROWS_CONFLICT,     /* a row is not as the write expected */
-  QUAR_ROWS_LOST          /* refused, or no answer */
+  QUAR_ROWS_HISTORY_EXPIRED, /* changes since then are not to be had: read all
+                              */
+  QUAR_ROWS_CONFLICT,        /* a row is not as the write expected */
+  QUAR_ROWS_FAILED           /* refused, or no answer */
 };
 
-struct quar_rows
+struct quar_rows_reply
 {
-  enum quar_rows_code code; /* whether the rest counts */
-  int64_t version;          /* to ask for changes after */
-  GArray *rows;             /* struct quar_row: read, changed or in conflict */
+  enum quar_rows_status status; /* whether the rest counts */
+  int64_t version;              /* to ask for changes after */
+  GArray *rows; /* struct quar_row: read, changed or in conflict */
 };
 
-typedef void (*quar_rows_done) (void *arg, const struct quar_rows *rows);
+typedef void (*quar_rows_done) (void *arg, const struct quar_rows_reply *rows);
 
 #define QUAR_ANY_VERSION INT64_C (-1) /* of a row that may be as it is */
 
@@ -75,16 +76,16 @@
 void quarfeed_changed (struct quarfeed *f, int64_t now_us);
 /* The platform's store came back from an older copy: what was written since is
    gone. */
-void quarfeed_older_copy (struct quarfeed *f, int64_t now_us);
+void quarfeed_store_restored (struct quarfeed *f, int64_t now_us);
 /* A datagram from another VM; false if it is none. */
 bool quarfeed_receive (struct quarfeed *f, const char *data, size_t len,
                        int64_t now_us);
 /* Whether what others saw was read, or was waited for long enough. */
-bool quarfeed_known (const struct quarfeed *f, int64_t now_us);
+bool quarfeed_is_ready (const struct quarfeed *f, int64_t now_us);
 /* Ask and tell nothing more. */
 void quarfeed_stop (struct quarfeed *f);
 void quarfeed_free (struct quarfeed *f);
 /* Calls to the platform under way. */
-int quarfeed_waiting (const struct quarfeed *f);
+int quarfeed_pending_calls (const struct quarfeed *f);
 
 #endif
--- a/quarwire.c
+++ b/quarwire.c
@@ -20,7 +20,7 @@
 put (const struct quar_fact *f, peer_fact *to)
 {
   memcpy (to->request, f->id.bytes, sizeof to->request);
-  to->endpoint = f->done ? 0 : f->crash.endpoint;
+  to->endpoint = f->completed ? 0 : f->crash.endpoint;
   to->at_ms = (uint64_t)MAX (f->crash.at_ms, 0);
   to->ran_ms = (u_int)CLAMP (f->crash.ran_ms, 0, RAN_MAX_MS);
 }
@@ -50,7 +50,7 @@
 {
   memset (f, 0, sizeof *f);
   memcpy (f->id.bytes, from->request, sizeof f->id.bytes);
-  f->done = from->endpoint == 0;
+  f->completed = from->endpoint == 0;
   f->crash.endpoint = from->endpoint;
   f->crash.at_ms = (int64_t)from->at_ms;
   f->crash.ran_ms = (int64_t)from->ran_ms;
--- a/refusal.c
+++ b/refusal.c
@@ -72,7 +72,7 @@
 }
 
 int
-refusal_retry_s (int64_t us)
+refusal_retry_after_s (int64_t us)
 {
   int64_t s = (us + CQ_US_PER_S - 1) / CQ_US_PER_S;
 
--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -391,7 +391,7 @@
 check_fact (const struct quar_fact *f)
 {
   if (f->crash.at_ms <= 0 || f->crash.ran_ms < 0
-      || (f->done && f->crash.endpoint != 0))
+      || (f->completed && f->crash.endpoint != 0))
     g_error ("a fact out of its bounds");
 }
 
@@ -401,7 +401,7 @@
   static const uint8_t key[QUARWIRE_KEY_BYTES] = { 1 };
   g_autoptr (GArray) facts
       = g_array_new (FALSE, FALSE, sizeof (struct quar_fact));
-  struct quar_rows rows
+  struct quar_rows_reply rows
       = { .rows = g_array_new (FALSE, TRUE, sizeof (struct quar_row)) };
   struct quar *q = quar_new (60000);
   bool more;
@@ -415,10 +415,10 @@
   for (i = 0; i < facts->len; i++)
     {
       check_fact (&g_array_index (facts, struct quar_fact, i));
-      quar_take (q, &g_array_index (facts, struct quar_fact, i), false);
+      quar_add_fact (q, &g_array_index (facts, struct quar_fact, i), false);
     }
   for (i = 0; i < facts->len; i++)
-    quar_judge (q, &g_array_index (facts, struct quar_fact, i).id, 3, 1000);
+    quar_evaluate (q, &g_array_index (facts, struct quar_fact, i).id, 3, 1000);
   pdecode_quar_rows (data, size, &rows, &more);
   for (i = 0; i < rows.rows->len; i++)
     {
--- a/regress/test-quar.c
+++ b/regress/test-quar.c
@@ -25,16 +25,16 @@
   struct quar_fact f = { .id = id_of (request) };
 
   f.crash = (struct quar_crash){ endpoint, at_ms, ran_ms };
-  return quar_take (q, &f, true);
+  return quar_add_fact (q, &f, true);
 }
 
 static bool
 answered (struct quar *q, unsigned request, int64_t at_ms)
 {
-  struct quar_fact f = { .id = id_of (request), .done = true };
+  struct quar_fact f = { .id = id_of (request), .completed = true };
 
   f.crash.at_ms = at_ms;
-  return quar_take (q, &f, true);
+  return quar_add_fact (q, &f, true);
 }
 
 static bool
@@ -42,7 +42,7 @@
 {
   struct reqid id = id_of (request);
 
-  return quar_judge (q, &id, ENDPOINTS, now_ms).held;
+  return quar_evaluate (q, &id, ENDPOINTS, now_ms).is_quarantined;
 }
 
 /* --- verdict --------------------------------------------------------- */
@@ -235,14 +235,14 @@
     ended (q, 1, i, INT64_C (1000) * (i + 1), 150);
   for (i = 0; i < 20000; i++)
     ended (q, 100 + i, 1000 + i, 2000 + (int)i, 150);
-  quar_own (q, facts, G_MAXUINT);
+  quar_own_facts (q, facts, G_MAXUINT);
   g_assert_cmpuint (facts->len, <=, QUAR_REQUESTS_MAX + 2);
-  g_assert_true (quar_suspects (q, &(struct reqid){ { 1 } }));
+  g_assert_true (quar_has_crashes (q, &(struct reqid){ { 1 } }));
   /* What matters most is told first. */
   g_assert_cmpint (g_array_index (facts, struct quar_fact, 0).id.bytes[0], ==,
                    1);
   quar_expire (q, 2000 + 20000 + 86400000);
-  g_assert_false (quar_any (q));
+  g_assert_false (quar_has_records (q));
   quar_free (q);
 }
 
@@ -257,10 +257,11 @@
   struct quar_fact f
       = { .id = id_of ((unsigned)g_rand_int_range (rand, 0, 20)) };
 
-  f.done = g_rand_int_range (rand, 0, 30) == 0;
+  f.completed = g_rand_int_range (rand, 0, 30) == 0;
   f.crash.at_ms = i * 100 + g_rand_int_range (rand, 0, 50);
-  f.crash.endpoint = f.done ? 0 : (uint64_t)g_rand_int_range (rand, 0, 60);
-  f.crash.ran_ms = f.done ? 0 : g_rand_int_range (rand, 10, 1000);
+  f.crash.endpoint
+      = f.completed ? 0 : (uint64_t)g_rand_int_range (rand, 0, 60);
+  f.crash.ran_ms = f.completed ? 0 : g_rand_int_range (rand, 10, 1000);
   return f;
 }
 
@@ -272,7 +273,7 @@
   int64_t sum = 0;
   guint i;
 
-  quar_worst (q, facts, G_MAXUINT);
+  quar_worst_facts (q, facts, G_MAXUINT);
   for (i = 0; i < facts->len; i++)
     {
       const struct quar_fact *f = &g_array_index (facts, struct quar_fact, i);
@@ -302,9 +303,9 @@
         {
           q[v] = quar_new (HOLD_MS);
           for (i = 0; i < 12; i++)
-            quar_take (q[v], &facts[(i * (2 * v + 1) + v) % 12], v == 0);
+            quar_add_fact (q[v], &facts[(i * (2 * v + 1) + v) % 12], v == 0);
           for (i = 0; i < 12; i++)
-            quar_take (q[v], &facts[i], false);
+            quar_add_fact (q[v], &facts[i], false);
         }
       for (v = 1; v < VMS; v++)
         g_assert_cmpint (sum_of (q[v]), ==, sum_of (q[0]));
@@ -381,9 +382,9 @@
                         loop_now_us ());
     }
   probe.done (probe.arg, RELAY_PROBE_CRASHED, NULL);
-  quar_own (q, facts, G_MAXUINT);
+  quar_own_facts (q, facts, G_MAXUINT);
   g_assert_cmpuint (facts->len, ==, 16);
-  g_assert_true (quar_suspects (q, &id));
+  g_assert_true (quar_has_crashes (q, &id));
   relaycrash_free (c);
   loop_free (o.loop);
   quar_free (q);
@@ -453,7 +454,7 @@
 static void
 answer_read (struct played_table *t)
 {
-  struct quar_rows rows = { .code = QUAR_ROWS_OK, .version = 9 };
+  struct quar_rows_reply rows = { .status = QUAR_ROWS_OK, .version = 9 };
   g_autoptr (GArray) facts
       = g_array_new (FALSE, FALSE, sizeof (struct quar_fact));
   struct quar_fact f = { .id = id_of (1) };
--- a/regress/test-relayquar.c
+++ b/regress/test-relayquar.c
@@ -9,7 +9,7 @@
 static void
 accuse (struct play *p, const char *workspace, int n)
 {
-  struct quar_fact f = { .done = false };
+  struct quar_fact f = { .completed = false };
   int64_t i;
 
   reqid_of (&p->desc, workspace, &f.id);
@@ -18,7 +18,7 @@
       f.crash.endpoint = (uint64_t)(100 + i);
       f.crash.at_ms = loop_now_us () / CQ_US_PER_MS - 2000 + 500 * i;
       f.crash.ran_ms = 10;
-      quar_take (p->quar, &f, false);
+      quar_add_fact (p->quar, &f, false);
     }
 }
 
@@ -196,7 +196,7 @@
   if (p->probe != NULL)
     p->probe (p->probe_arg, probe, NULL);
   p->probe = NULL;
-  return quar_suspects (p->quar, &id);
+  return quar_has_crashes (p->quar, &id);
 }
 
 /*
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -70,7 +70,7 @@
 {
   const struct relaycrash_opts *o = &s->owner->opts;
   int64_t now_ms = o->clock_ms (o->arg, now_us);
-  struct quar_fact f = { .done = false };
+  struct quar_fact f = { .completed = false };
   bool news = false;
   int i;
 
@@ -80,7 +80,7 @@
     {
       f.id = s->requests[i].id;
       f.crash.ran_ms = s->requests[i].ran_ms;
-      news |= quar_take (o->quar, &f, true);
+      news |= quar_add_fact (o->quar, &f, true);
     }
   if (news)
     o->observed (o->arg, now_us);
--- a/relayquar.c
+++ b/relayquar.c
@@ -75,23 +75,24 @@
   int64_t now_ms;
 
   r->suspect = false;
-  if (o->quar == NULL || !quar_any (o->quar)
-      || !quar_suspects (o->quar, relay_identity (r)))
+  if (o->quar == NULL || !quar_has_records (o->quar)
+      || !quar_has_crashes (o->quar, relay_identity (r)))
     return HOLD_NONE;
   now_ms = o->clock_ms (o->quar_arg, now_us);
-  v = quar_judge (o->quar, relay_identity (r), count_endpoints (r), now_ms);
+  v = quar_evaluate (o->quar, relay_identity (r), count_endpoints (r), now_ms);
   if (v.crashes == 0)
     return HOLD_NONE;
-  r->suspect = v.suspect;
-  if (v.held)
+  r->suspect = v.is_suspect;
+  if (v.is_quarantined)
     hold = HOLD_CRASHES;
-  else if (v.suspect && !has_turn (r, now_us))
+  else if (v.is_suspect && !has_turn (r, now_us))
     hold = HOLD_TURN;
   log_event (LOG_LEVEL_INFO, "quarantine",
              "req=%s digest=%s outcome=%s crashes=%d chance=%.1e "
              "left_ms=%" G_GINT64_FORMAT,
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
-             v.crashes, v.chance, (gint64)(v.held ? v.until_ms - now_ms : 0));
+             v.crashes, v.probability,
+             (gint64)(v.is_quarantined ? v.until_ms - now_ms : 0));
   met_add (MET_HELD, hold == HOLD_CRASHES);
   met_add (MET_DEFERRED, hold == HOLD_TURN);
   return hold;
@@ -109,13 +110,14 @@
 answered (struct relay *r, int64_t now_us)
 {
   const struct relays_opts *o = &r->rs->opts;
-  struct quar_fact f = { .done = true };
+  struct quar_fact f = { .completed = true };
 
-  if (!quar_any (o->quar) || !quar_suspects (o->quar, relay_identity (r)))
+  if (!quar_has_records (o->quar)
+      || !quar_has_crashes (o->quar, relay_identity (r)))
     return;
   f.id = *relay_identity (r);
   f.crash.at_ms = o->clock_ms (o->quar_arg, now_us);
-  if (quar_take (o->quar, &f, true))
+  if (quar_add_fact (o->quar, &f, true))
     o->observed (o->quar_arg, now_us);
 }
 
--- a/reply.c
+++ b/reply.c
@@ -59,7 +59,7 @@
   reply.body = text;
   reply.len = strlen (text);
   reply.outcome = out_name (OUT_NOT_RUN);
-  reply.retry_after_s = refusal_retry_s (retry_after_us);
+  reply.retry_after_s = refusal_retry_after_s (retry_after_us);
   req_reply (r, &reply);
   free (text);
   json_decref (doc);
--- a/srv.c
+++ b/srv.c
@@ -42,9 +42,9 @@
   struct worker *w = arg;
 
   loop_run (w->loop);
-  door_close (w->door);
+  http_listener_close (w->door);
   if (w->index == 0 && w->server->entry != NULL)
-    entry_close_doors (w->server->entry);
+    entry_close_listeners (w->server->entry);
   return NULL;
 }
 
@@ -131,7 +131,7 @@
   struct server *s = arg;
 
   if (s->entry != NULL)
-    entry_leave (s->entry);
+    entry_prepare_stop (s->entry);
   if (s->member != NULL)
     member_say (s->member, s->conf ? conf_revision (s->conf) : 0);
 }
@@ -157,7 +157,7 @@
 {
   int i;
 
-  int polls = entry_waiting (s->entry);
+  int polls = entry_pending_calls (s->entry);
 
   for (i = 0; i < s->nworkers; i++)
     if (xfer_count (s->workers[i].pool) > (i == 0 ? polls : 0))
