--- a/quar.c
+++ b/quar.c
@@ -3,55 +3,60 @@
 
 #include <string.h>
 
-/* Crashes from which on a request is refused. */
-#define CRASHES_MIN 3
+/* Incidents from which a request may be quarantined. */
+#define INCIDENTS_MIN 3
 /*
- * Endpoints that end so close together share a cause outside of any one
- * request: a failure domain without power crashes many under the same frequent
- * request, and that counts once.
+ * Endpoints that crash within this time probably share a cause other than the
+ * request, and count as one incident: when a failure domain loses power, many
+ * endpoints that run the same frequent request crash together.
  */
-#define MOMENT_MS 100
-/* A run that began after the crash before it, and went on for so long, shows
-   that its endpoint had outlived that. */
-#define OUTLIVED_MS 30
-/* Requests looked at as causes of other crashes: the worst ones. */
+#define INCIDENT_WINDOW_MS 100
+/* A run that began after the previous crash and lasted this long shows that
+   its endpoint survived that crash, so its own crash is another incident. */
+#define SURVIVED_MIN_MS 30
+/* Requests considered as causes of other crashes, those with the most crashes
+   first. */
 #define CAUSES_MAX 16
-/* So many are enough whatever the chance, but only for the first hold: where
-   all endpoints keep crashing, a request that many make may get there too. */
-#define CRASHES_SURE 6
-/* How likely the crashes may be to have come together by chance. */
-#define CHANCE_MAX 1e-11
-/* The same, from which on a request is suspect. */
-#define CHANCE_SUSPECT 1e-6
-/* A crash shows some ms after it, so shorter runs are no stronger evidence. */
+/* This many incidents suffice whatever the probability, but only for the
+   shortest quarantine: while all endpoints keep crashing, a request that many
+   callers make may reach this number, too. */
+#define INCIDENTS_CERTAIN 6
+/* A request is quarantined if the probability that its crashes coincided by
+   chance is at most this. */
+#define QUARANTINE_PROBABILITY_MAX 1e-11
+/* Likewise for treating a request as suspect. */
+#define SUSPECT_PROBABILITY_MAX 1e-6
+/* A crash is detected some ms late, so runs shorter than this are no stronger
+   evidence. */
 #define RAN_MIN_MS 50
-/* Facts are kept for so long after the last one, or after the hold. */
-#define KEEP_MS 600000
-/* Each further crash makes the hold as many times as long. */
-#define HOLD_GROWTH 10
-#define HOLD_MAX_MS 86400000
-
-/* A crash as it is remembered. */
+/* Facts are kept for this long after the newest one, plus the length of the
+   quarantine. */
+#define RETENTION_MS 600000
+/* Each further incident multiplies the length of the quarantine by this. */
+#define QUARANTINE_GROWTH 10
+#define QUARANTINE_MAX_MS 86400000
+
+/* A crash and whether this VM observed it. */
 struct known_crash
 {
-  struct quar_crash is; /* as told */
-  bool own;             /* this VM saw it */
+  struct quar_crash crash; /* merged from all reports */
+  bool own;                /* observed by this VM */
 };
 
-/* All that is known of a request. */
+/* Evidence about a request. */
 struct record
 {
-  struct reqid id;                                          /* which */
+  struct reqid id; /* digest of the request */
   struct known_crash crashes[QUAR_CRASHES_PER_REQUEST_MAX]; /* oldest first */
-  int n;           /* entries in crashes */
-  int64_t done_ms; /* last answered whole then; 0: never */
-  bool own_done;   /* this VM saw that */
+  int n;                  /* entries in crashes */
+  int64_t completed_ms;   /* last completed, 0 if never */
+  bool is_completion_own; /* this VM observed that */
 };
 
 struct quar
 {
-  GHashTable *records; /* struct reqid to struct record */
-  int64_t hold_ms;     /* as set */
+  GHashTable *records;   /* struct reqid to struct record */
+  int64_t quarantine_ms; /* length of a first quarantine, 0 if disabled */
 };
 
 static guint
@@ -70,12 +75,12 @@
 }
 
 struct quar *
-quar_new (int64_t hold_ms)
+quar_new (int64_t quarantine_ms)
 {
   struct quar *q = g_new0 (struct quar, 1);
 
   q->records = g_hash_table_new_full (id_hash, id_equal, NULL, g_free);
-  q->hold_ms = hold_ms;
+  q->quarantine_ms = quarantine_ms;
   return q;
 }
 
@@ -93,10 +98,10 @@
 }
 
 static int64_t
-touched_ms (const struct record *r)
+updated_ms (const struct record *r)
 {
-  return r->n > 0 ? MAX (r->crashes[r->n - 1].is.at_ms, r->done_ms)
-                  : r->done_ms;
+  return r->n > 0 ? MAX (r->crashes[r->n - 1].crash.at_ms, r->completed_ms)
+                  : r->completed_ms;
 }
 
 bool
@@ -109,17 +114,17 @@
 
 /* --- evidence -------------------------------------------------------- */
 
-/* Whether A has to go before B when there is no room for both. */
+/* Whether A is evicted before B: fewer crashes, or as many but older. */
 static bool
-matters_less (const struct record *a, const struct record *b)
+is_evicted_before (const struct record *a, const struct record *b)
 {
   if (a->n != b->n)
     return a->n < b->n;
-  return touched_ms (a) < touched_ms (b);
+  return updated_ms (a) < updated_ms (b);
 }
 
 static void
-make_room (struct quar *q)
+evict_if_full (struct quar *q)
 {
   struct record *r, *least = NULL;
   GHashTableIter it;
@@ -128,19 +133,19 @@
     return;
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&r))
-    if (least == NULL || matters_less (r, least))
+    if (least == NULL || is_evicted_before (r, least))
       least = r;
   g_hash_table_remove (q->records, &least->id);
 }
 
 static struct record *
-need (struct quar *q, const struct reqid *id)
+find_or_add_record (struct quar *q, const struct reqid *id)
 {
   struct record *r = g_hash_table_lookup (q->records, id);
 
   if (r != NULL)
     return r;
-  make_room (q);
+  evict_if_full (q);
   r = g_new0 (struct record, 1);
   r->id = *id;
   g_hash_table_insert (q->records, &r->id, r);
@@ -153,13 +158,13 @@
   int i;
 
   for (i = 0; i < r->n; i++)
-    if (r->crashes[i].is.endpoint == endpoint)
+    if (r->crashes[i].crash.endpoint == endpoint)
       return &r->crashes[i];
   return NULL;
 }
 
 static void
-drop_crash (struct record *r, int i)
+remove_crash (struct record *r, int i)
 {
   memmove (&r->crashes[i], &r->crashes[i + 1],
            sizeof r->crashes[0] * (size_t)(--r->n - i));
@@ -170,91 +175,93 @@
 {
   int i = r->n;
 
-  while (i > 0 && r->crashes[i - 1].is.at_ms > e->at_ms)
+  while (i > 0 && r->crashes[i - 1].crash.at_ms > e->at_ms)
     i--;
   memmove (&r->crashes[i + 1], &r->crashes[i],
            sizeof r->crashes[0] * (size_t)(r->n++ - i));
-  r->crashes[i].is = *e;
+  r->crashes[i].crash = *e;
   r->crashes[i].own = own;
 }
 
-/* Several VMs see the same crash: the earliest time and the shortest run
-   count, so that all of them come to the same record in whatever order. */
+/* Several VMs report the same crash.  The earliest time and the shortest run
+   are kept, so that all VMs get the same record whatever the order. */
 static bool
 merge_crash (struct record *r, struct known_crash *old,
              const struct quar_crash *e, bool own)
 {
   struct known_crash new = *old;
 
-  new.is.at_ms = MIN (old->is.at_ms, e->at_ms);
-  new.is.ran_ms = MIN (old->is.ran_ms, e->ran_ms);
+  new.crash.at_ms = MIN (old->crash.at_ms, e->at_ms);
+  new.crash.ran_ms = MIN (old->crash.ran_ms, e->ran_ms);
   new.own |= own;
-  if (new.is.at_ms == old->is.at_ms &&new.is.ran_ms == old->is.ran_ms &&new.own
-      == old->own)
+  if (new.crash.at_ms == old->crash.at_ms &&new.crash.ran_ms
+      == old->crash.ran_ms &&new.own == old->own)
     return false;
-  drop_crash (r, (int)(old - r->crashes));
-  insert_crash (r, &new.is, new.own);
+  remove_crash (r, (int)(old - r->crashes));
+  insert_crash (r, &new.crash, new.own);
   return true;
 }
 
 static bool
-take_crash (struct quar *q, const struct quar_fact *f, bool own)
+add_crash (struct quar *q, const struct quar_fact *f, bool own)
 {
-  struct record *r = need (q, &f->id);
+  struct record *r = find_or_add_record (q, &f->id);
   struct known_crash *old = find_crash (r, f->crash.endpoint);
 
   if (old != NULL)
     return merge_crash (r, old, &f->crash, own);
-  if (f->crash.at_ms <= r->done_ms)
+  if (f->crash.at_ms <= r->completed_ms)
     return false;
   if (r->n == QUAR_CRASHES_PER_REQUEST_MAX
-      && r->crashes[0].is.at_ms >= f->crash.at_ms)
+      && r->crashes[0].crash.at_ms >= f->crash.at_ms)
     return false;
   if (r->n == QUAR_CRASHES_PER_REQUEST_MAX)
-    drop_crash (r, 0);
+    remove_crash (r, 0);
   insert_crash (r, &f->crash, own);
   return true;
 }
 
 /*
- * An endpoint answered the request whole and lives, so the crashes before came
- * from others: a request that many callers make is at most endpoints that
- * crash, for whatever reason.
+ * An endpoint completed the request and survived, so other causes are behind
+ * the earlier crashes: a request that many callers make runs on most endpoints
+ * that crash, whatever the reason.
  */
 static bool
-take_done (struct quar *q, const struct quar_fact *f, bool own)
+add_completion (struct quar *q, const struct quar_fact *f, bool own)
 {
   struct record *r = g_hash_table_lookup (q->records, &f->id);
 
-  if (r == NULL || f->crash.at_ms <= r->done_ms)
+  if (r == NULL || f->crash.at_ms <= r->completed_ms)
     return false;
-  r->done_ms = f->crash.at_ms;
-  r->own_done = own;
-  while (r->n > 0 && r->crashes[0].is.at_ms <= r->done_ms)
-    drop_crash (r, 0);
+  r->completed_ms = f->crash.at_ms;
+  r->is_completion_own = own;
+  while (r->n > 0 && r->crashes[0].crash.at_ms <= r->completed_ms)
+    remove_crash (r, 0);
   return true;
 }
 
 bool
 quar_add_fact (struct quar *q, const struct quar_fact *f, bool own)
 {
-  return f->completed ? take_done (q, f, own) : take_crash (q, f, own);
+  return f->completed ? add_completion (q, f, own) : add_crash (q, f, own);
 }
 
 /* --- verdict --------------------------------------------------------- */
 
-/* Whether E is no part of the moment that began at FIRST_MS and of which the
-   crash at BEFORE_MS was the last. */
+/* Whether E belongs to another incident than the one that began at FIRST_MS
+   and whose last crash was at BEFORE_MS. */
 static bool
-is_apart (const struct quar_crash *e, int64_t first_ms, int64_t before_ms)
+is_other_incident (const struct quar_crash *e, int64_t first_ms,
+                   int64_t before_ms)
 {
-  return e->at_ms - first_ms > MOMENT_MS
-         || (e->ran_ms >= OUTLIVED_MS && e->at_ms - e->ran_ms >= before_ms);
+  return e->at_ms - first_ms > INCIDENT_WINDOW_MS
+         || (e->ran_ms >= SURVIVED_MIN_MS
+             && e->at_ms - e->ran_ms >= before_ms);
 }
 
-/* Moments at which endpoints crashed under R. */
+/* Number of incidents in which endpoints crashed while they ran R. */
 static int
-moments (const struct record *r)
+count_incidents (const struct record *r)
 {
   const struct quar_crash *e, *before = NULL;
   int64_t first = 0;
@@ -263,8 +270,8 @@
 
   for (i = 0; i < r->n; i++, before = e)
     {
-      e = &r->crashes[i].is;
-      if (before != NULL && !is_apart (e, first, before->at_ms))
+      e = &r->crashes[i].crash;
+      if (before != NULL && !is_other_incident (e, first, before->at_ms))
         continue;
       first = e->at_ms;
       n++;
@@ -273,23 +280,23 @@
 }
 
 static int64_t
-ran_ms (const struct record *r)
+total_run_ms (const struct record *r)
 {
   int64_t sum = 0;
   int i;
 
   for (i = 0; i < r->n; i++)
-    sum += r->crashes[i].is.ran_ms;
+    sum += r->crashes[i].crash.ran_ms;
   return sum;
 }
 
-/* More crashes, or as many after shorter runs.  Equal records differ by id, so
-   that one of them is left to explain the crash. */
+/* Whether A has more incidents than B, or as many after shorter runs.  Ties
+   are broken by id, so that exactly one of the requests explains the crash. */
 static bool
-is_worse (const struct record *a, const struct record *b)
+is_likelier_cause (const struct record *a, const struct record *b)
 {
-  int na = moments (a), nb = moments (b);
-  int64_t ra = ran_ms (a), rb = ran_ms (b);
+  int na = count_incidents (a), nb = count_incidents (b);
+  int64_t ra = total_run_ms (a), rb = total_run_ms (b);
 
   if (na != nb)
     return na > nb;
@@ -305,36 +312,37 @@
 }
 
 /*
- * Whether another request was there that is more likely to be the cause.  All
- * that ran at an endpoint breaks with it, and callers whose long answers broke
- * come again to endpoints that the same request crashes: without this they
- * would be held with it.
+ * Whether a more likely cause ran on the endpoint.  A crash breaks all
+ * requests of an endpoint, and callers whose long answers broke retry at
+ * endpoints that the same request crashes; without this check, their requests
+ * would be quarantined along with it.
  */
 static bool
-is_explained (const struct quar *q, const struct record *r, uint64_t endpoint)
+has_likelier_cause (const struct quar *q, const struct record *r,
+                    uint64_t endpoint)
 {
   const struct record *o;
   GHashTableIter it;
 
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&o))
-    if (o != r && crashed_under (o, endpoint) && is_worse (o, r))
+    if (o != r && crashed_under (o, endpoint) && is_likelier_cause (o, r))
       return true;
   return false;
 }
 
 static int
-worst_first (gconstpointer a, gconstpointer b)
+compare_importance (gconstpointer a, gconstpointer b)
 {
   const struct record *const *ra = a;
   const struct record *const *rb = b;
 
-  return matters_less (*ra, *rb) - matters_less (*rb, *ra);
+  return is_evicted_before (*ra, *rb) - is_evicted_before (*rb, *ra);
 }
 
-/* Of too many facts those go that matter least. */
+/* Where facts must be left out, the least important ones are at the end. */
 static GPtrArray *
-records_worst_first (const struct quar *q)
+records_by_importance (const struct quar *q)
 {
   GPtrArray *list = g_ptr_array_new ();
   struct record *r;
@@ -343,11 +351,12 @@
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&r))
     g_ptr_array_add (list, r);
-  g_ptr_array_sort (list, worst_first);
+  g_ptr_array_sort (list, compare_importance);
   return list;
 }
 
-/* Every endpoint that crashed, once: an array of struct quar_crash. */
+/* Crashes of all requests, one for each endpoint: an array of struct
+   quar_crash. */
 static GArray *
 all_crashes (const struct quar *q)
 {
@@ -360,18 +369,18 @@
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&r))
     for (i = 0; i < r->n; i++)
-      if (g_hash_table_add (keys, &r->crashes[i].is.endpoint))
-        g_array_append_val (crashes, r->crashes[i].is);
+      if (g_hash_table_add (keys, &r->crashes[i].crash.endpoint))
+        g_array_append_val (crashes, r->crashes[i].crash);
   return crashes;
 }
 
-/* Those of ENDS that are not R's and have no other cause, within SPAN_MS
-   before the last one of R. */
+/* Number of CRASHES at endpoints that did not run R and whose cause is not
+   known (not in EXPLAINED), within SPAN_MS before the last crash of R. */
 static int
 other_crashes (const GArray *crashes, const struct record *r,
-               GHashTable *caused, int64_t span_ms)
+               GHashTable *explained, int64_t span_ms)
 {
-  int64_t last = r->crashes[r->n - 1].is.at_ms;
+  int64_t last = r->crashes[r->n - 1].crash.at_ms;
   int n = 0;
   guint i;
 
@@ -380,19 +389,20 @@
       const struct quar_crash *e
           = &g_array_index (crashes, struct quar_crash, i);
 
-      n += e->at_ms <= last + MOMENT_MS && e->at_ms > last - span_ms
+      n += e->at_ms <= last + INCIDENT_WINDOW_MS && e->at_ms > last - span_ms
            && !crashed_under (r, e->endpoint)
-           && !g_hash_table_contains (caused, &e->endpoint);
+           && !g_hash_table_contains (explained, &e->endpoint);
     }
   return n;
 }
 
-/* Crashes of an endpoint in a millisecond by other causes than R: at their
-   worst over spans, since what makes endpoints crash may have begun just now.
-   One more in the longest span stands for what was not seen yet. */
+/* Crash rate of one endpoint, per millisecond, by causes other than R.  It is
+   the highest rate over several spans, since another cause may have begun only
+   just now.  The longest span counts one crash more, for causes that were not
+   observed yet. */
 static double
 rate_of_others (const GArray *crashes, const struct record *r,
-                GHashTable *caused, int endpoints)
+                GHashTable *explained, int endpoints)
 {
   static const int64_t spans_ms[] = { 3000, 10000, 60000 };
   double rate = 0, seen;
@@ -400,7 +410,7 @@
 
   for (i = 0; i < G_N_ELEMENTS (spans_ms); i++)
     {
-      seen = other_crashes (crashes, r, caused, spans_ms[i]);
+      seen = other_crashes (crashes, r, explained, spans_ms[i]);
       if (i + 1 == G_N_ELEMENTS (spans_ms))
         seen++;
       rate = MAX (rate, seen / (double)(spans_ms[i] * MAX (endpoints, 1)));
@@ -409,25 +419,25 @@
 }
 
 static int64_t
-hold_of (const struct quar *q, int crashes)
+quarantine_length_ms (const struct quar *q, int crashes)
 {
-  int64_t hold = q->hold_ms;
+  int64_t length_ms = q->quarantine_ms;
 
-  for (; crashes > CRASHES_MIN && hold < HOLD_MAX_MS; crashes--)
-    hold *= HOLD_GROWTH;
-  return MIN (hold, HOLD_MAX_MS);
+  for (; crashes > INCIDENTS_MIN && length_ms < QUARANTINE_MAX_MS; crashes--)
+    length_ms *= QUARANTINE_GROWTH;
+  return MIN (length_ms, QUARANTINE_MAX_MS);
 }
 
 /*
- * How likely the crashes are by chance: an endpoint crashes by other causes at
- * a rate that the crashes without this request show, and the request was there
- * for so long.  The rate tells a request that crashes endpoints, which
- * otherwise live, from one that was unlucky while endpoints were replaced or
- * went down and up.
+ * Estimate the probability that the crashes coincided with R by chance.
+ * Endpoints crash for other causes at RATE, taken from the crashes without
+ * this request, and each run gives the time in which that could happen.  The
+ * rate distinguishes a request that crashes otherwise healthy endpoints from
+ * one that was unlucky while endpoints were being replaced or kept restarting.
  */
 static void
-weigh (const struct quar *q, const struct record *r, double rate,
-       struct quar_verdict *v)
+estimate_chance (const struct quar *q, const struct record *r, double rate,
+                 struct quar_verdict *v)
 {
   const struct quar_crash *e, *before = NULL;
   int64_t last = 0;
@@ -436,36 +446,40 @@
   *v = (struct quar_verdict){ .probability = 1 };
   for (i = 0; i < r->n; i++, before = e)
     {
-      e = &r->crashes[i].is;
-      if ((v->crashes > 0 && !is_apart (e, last, before->at_ms))
-          || is_explained (q, r, e->endpoint))
+      e = &r->crashes[i].crash;
+      if ((v->crashes > 0 && !is_other_incident (e, last, before->at_ms))
+          || has_likelier_cause (q, r, e->endpoint))
         continue;
       v->probability *= MIN (1.0, rate * (double)MAX (e->ran_ms, RAN_MIN_MS));
       last = e->at_ms;
       v->crashes++;
     }
   v->until_ms = last
-                + (v->probability <= CHANCE_MAX ? hold_of (q, v->crashes)
-                                                : q->hold_ms);
+                + (v->probability <= QUARANTINE_PROBABILITY_MAX
+                       ? quarantine_length_ms (q, v->crashes)
+                       : q->quarantine_ms);
 }
 
 static bool
-is_beyond_chance (const struct quar_verdict *v)
+is_significant (const struct quar_verdict *v)
 {
-  return v->crashes >= CRASHES_MIN && v->probability <= CHANCE_MAX;
+  return v->crashes >= INCIDENTS_MIN
+         && v->probability <= QUARANTINE_PROBABILITY_MAX;
 }
 
 /*
- * Endpoints that crashed under requests that are held without this.  Once one
- * is known by which endpoints crashed for a minute, they would make the next
- * one look like chance.
+ * Keys of endpoints that crashed under requests whose crashes are significant
+ * on their own.  If a request that crashed endpoints for a minute is known,
+ * counting those crashes as background would make the crashes of the next such
+ * request look like chance.
  */
 static GHashTable *
-crashes_with_cause (const struct quar *q, const GArray *crashes, int endpoints)
+find_explained_crashes (const struct quar *q, const GArray *crashes,
+                        int endpoints)
 {
-  GHashTable *caused = g_hash_table_new (g_int64_hash, g_int64_equal);
+  GHashTable *explained = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_autoptr (GHashTable) none = g_hash_table_new (g_int64_hash, g_int64_equal);
-  g_autoptr (GPtrArray) list = records_worst_first (q);
+  g_autoptr (GPtrArray) list = records_by_importance (q);
   struct quar_verdict v;
   struct record *r;
   guint i;
@@ -474,13 +488,13 @@
   for (i = 0; i < MIN (list->len, CAUSES_MAX); i++)
     {
       r = list->pdata[i];
-      if (moments (r) < CRASHES_MIN)
+      if (count_incidents (r) < INCIDENTS_MIN)
         break;
-      weigh (q, r, rate_of_others (crashes, r, none, endpoints), &v);
-      for (k = 0; is_beyond_chance (&v) && k < r->n; k++)
-        g_hash_table_add (caused, &r->crashes[k].is.endpoint);
+      estimate_chance (q, r, rate_of_others (crashes, r, none, endpoints), &v);
+      for (k = 0; is_significant (&v) && k < r->n; k++)
+        g_hash_table_add (explained, &r->crashes[k].crash.endpoint);
     }
-  return caused;
+  return explained;
 }
 
 struct quar_verdict
@@ -489,31 +503,35 @@
 {
   const struct record *r = g_hash_table_lookup (q->records, id);
   struct quar_verdict v = { .probability = 1 };
-  g_autoptr (GHashTable) caused = NULL;
+  g_autoptr (GHashTable) explained = NULL;
   g_autoptr (GArray) crashes = NULL;
 
-  if (q->hold_ms == 0 || r == NULL || moments (r) < CRASHES_MIN)
+  if (q->quarantine_ms == 0 || r == NULL
+      || count_incidents (r) < INCIDENTS_MIN)
     return v;
   crashes = all_crashes (q);
-  caused = crashes_with_cause (q, crashes, endpoints);
-  weigh (q, r, rate_of_others (crashes, r, caused, endpoints), &v);
-  v.is_quarantined = (v.crashes >= CRASHES_SURE || is_beyond_chance (&v))
+  explained = find_explained_crashes (q, crashes, endpoints);
+  estimate_chance (q, r, rate_of_others (crashes, r, explained, endpoints),
+                   &v);
+  v.is_quarantined = (v.crashes >= INCIDENTS_CERTAIN || is_significant (&v))
                      && now_ms < v.until_ms;
-  v.is_suspect = !v.is_quarantined && v.crashes >= CRASHES_MIN
-                 && v.probability <= CHANCE_SUSPECT && now_ms < v.until_ms;
+  v.is_suspect = !v.is_quarantined && v.crashes >= INCIDENTS_MIN
+                 && v.probability <= SUSPECT_PROBABILITY_MAX
+                 && now_ms < v.until_ms;
   return v;
 }
 
-/* --- what is told, and forgotten ------------------------------------- */
+/* --- export and expiry ----------------------------------------------- */
 
 static bool
-is_over (const struct quar *q, const struct record *r, int64_t now_ms)
+is_record_expired (const struct quar *q, const struct record *r,
+                   int64_t now_ms)
 {
-  int64_t keep = KEEP_MS;
+  int64_t retention_ms = RETENTION_MS;
 
-  if (moments (r) >= CRASHES_MIN)
-    keep += hold_of (q, moments (r));
-  return now_ms - touched_ms (r) > keep;
+  if (count_incidents (r) >= INCIDENTS_MIN)
+    retention_ms += quarantine_length_ms (q, count_incidents (r));
+  return now_ms - updated_ms (r) > retention_ms;
 }
 
 void
@@ -524,7 +542,7 @@
 
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, (gpointer *)&r))
-    if (is_over (q, r, now_ms))
+    if (is_record_expired (q, r, now_ms))
       g_hash_table_iter_remove (&it);
 }
 
@@ -537,13 +555,13 @@
   for (i = 0; i < r->n && out->len < max; i++)
     if (all || r->crashes[i].own)
       {
-        f.crash = r->crashes[i].is;
+        f.crash = r->crashes[i].crash;
         g_array_append_val (out, f);
       }
-  if ((all || r->own_done) && r->done_ms > 0 && out->len < max)
+  if ((all || r->is_completion_own) && r->completed_ms > 0 && out->len < max)
     {
       f.completed = true;
-      f.crash = (struct quar_crash){ .at_ms = r->done_ms };
+      f.crash = (struct quar_crash){ .at_ms = r->completed_ms };
       g_array_append_val (out, f);
     }
 }
@@ -551,7 +569,7 @@
 void
 quar_own_facts (const struct quar *q, GArray *out, guint max)
 {
-  g_autoptr (GPtrArray) list = records_worst_first (q);
+  g_autoptr (GPtrArray) list = records_by_importance (q);
   guint i;
 
   for (i = 0; i < list->len; i++)
@@ -561,10 +579,11 @@
 void
 quar_worst_facts (const struct quar *q, GArray *out, guint max)
 {
-  g_autoptr (GPtrArray) list = records_worst_first (q);
+  g_autoptr (GPtrArray) list = records_by_importance (q);
   guint i;
 
-  for (i = 0; i < list->len && moments (list->pdata[i]) >= CRASHES_MIN; i++)
+  for (i = 0;
+       i < list->len && count_incidents (list->pdata[i]) >= INCIDENTS_MIN; i++)
     add_facts (list->pdata[i], true, out, max);
 }
 
@@ -585,7 +604,7 @@
 
   for (i = 0; i < facts->len; i++)
     if (now_ms - g_array_index (facts, struct quar_fact, i).crash.at_ms
-        <= KEEP_MS + HOLD_MAX_MS)
+        <= RETENTION_MS + QUARANTINE_MAX_MS)
       return false;
   return true;
 }
--- a/quar.h
+++ b/quar.h
@@ -1,14 +1,15 @@
 /*
  * Quarantine of requests that crash the endpoints that run them.
  *
- * Such a request comes again, under other ids and at any VM, and each time
- * takes an endpoint and all that runs there with it.  What all VMs saw of it
- * is gathered here as evidence: which endpoints crashed under it, and whether
- * one ever answered it whole.  The verdict follows from the evidence and the
- * time alone, so VMs that have the same evidence agree without a word, and a
- * VM that starts anew need only read it.  Everything here is pure.
+ * Callers retry such a request under other ids and at any VM, and each attempt
+ * crashes an endpoint and breaks all requests that run there.  This module
+ * collects the evidence of all VMs: which endpoints crashed while they ran the
+ * request, and whether one ever completed it.  The verdict depends only on the
+ * evidence and the time, so VMs with the same evidence agree without
+ * coordination, and a restarted VM only has to read the evidence.  The
+ * functions do no I/O and read no clock.
  *
- * Times are milliseconds of the platform's clock.
+ * Times are in milliseconds on the platform's clock.
  */
 #ifndef CQ_QUAR_H
 #define CQ_QUAR_H
@@ -20,63 +21,65 @@
 
 #include "reqid.h"
 
-#define QUAR_CRASHES_PER_REQUEST_MAX                                          \
-  8                            /* remembered of one request, the newest */
-#define QUAR_REQUESTS_MAX 1024 /* remembered in all */
+/* Newest crashes that are kept of each request. */
+#define QUAR_CRASHES_PER_REQUEST_MAX 8
+#define QUAR_REQUESTS_MAX 1024 /* requests with evidence */
 
-/* An endpoint crashed while it had the request. */
+/* A crash of an endpoint while it ran the request. */
 struct quar_crash
 {
-  uint64_t endpoint; /* key of the incarnation that crashed */
-  int64_t at_ms;     /* when */
-  int64_t ran_ms;    /* for how long it had had the request */
+  uint64_t endpoint; /* key of the crashed incarnation */
+  int64_t at_ms;     /* time of the crash */
+  int64_t ran_ms;    /* time since the request was sent to it */
 };
 
-/* What one VM may tell another: one fact about one request. */
+/* One piece of evidence about one request, as VMs exchange it. */
 struct quar_fact
 {
-  struct reqid id; /* the request */
-  bool completed; /* it was answered whole at crash.at_ms; else CRASH counts */
-  struct quar_crash crash; /* see above */
+  struct reqid id;         /* the request */
+  bool completed;          /* an endpoint completed it at crash.at_ms */
+  struct quar_crash crash; /* the crash, if not completed */
 };
 
+/* What the evidence about a request amounts to. */
 struct quar_verdict
 {
-  bool is_quarantined; /* it is refused */
-  bool is_suspect;    /* not yet, but it may run at one place at a time only */
-  int crashes;        /* moments at which endpoints crashed under it, that no
-                      other request explains better */
-  double probability; /* that these came together by chance */
-  int64_t until_ms;   /* held until then */
+  bool is_quarantined; /* refuse the request */
+  bool is_suspect; /* not quarantined, but run it on one endpoint at a time */
+  int crashes; /* incidents that no other request explains better; endpoints
+                  that crash together are one incident */
+  double probability; /* that these incidents coincided by chance */
+  int64_t until_ms;   /* end of the quarantine */
 };
 
 struct quar;
 
-/* HOLD_MS is how long a request is refused at first; 0 refuses none. */
-struct quar *quar_new (int64_t hold_ms);
+/* QUARANTINE_MS is the length of a first quarantine; 0 disables quarantine. */
+struct quar *quar_new (int64_t quarantine_ms);
 void quar_free (struct quar *q);
 
-/* Take a fact; OWN says that this VM saw it, and answers for it to others.
-   False if it says nothing new. */
+/* Add a fact; OWN if this VM observed it and so publishes it to others.
+   Returns false if the evidence stays the same. */
 bool quar_add_fact (struct quar *q, const struct quar_fact *f, bool own);
-/* Whether anything is known of any request. */
+/* Whether there is evidence about any request. */
 bool quar_has_records (const struct quar *q);
-/* Whether a crash under the request is known. */
+/* Whether an endpoint is known to have crashed while it ran the request. */
 bool quar_has_crashes (const struct quar *q, const struct reqid *id);
-/* The verdict, where the request's service has so many ENDPOINTS. */
+/* Compute the verdict; ENDPOINTS is the size of the request's service. */
 struct quar_verdict quar_evaluate (const struct quar *q,
                                    const struct reqid *id, int endpoints,
                                    int64_t now_ms);
-/* Forget what is too old to count. */
+/* Remove evidence that is too old to matter. */
 void quar_expire (struct quar *q, int64_t now_ms);
 
-/* Facts that this VM saw itself, or all of requests with three crashes or
-   more; appended to OUT, an array of struct quar_fact, up to MAX. */
+/* Append the facts that this VM observed, or all facts about requests with
+   three or more incidents, to OUT, an array of struct quar_fact, until it
+   holds MAX.  Requests with the most crashes come first. */
 void quar_own_facts (const struct quar *q, GArray *out, guint max);
 void quar_worst_facts (const struct quar *q, GArray *out, guint max);
-/* How many facts quar_own would tell. */
+/* Number of facts that this VM observed. */
 guint quar_count_own_facts (const struct quar *q);
-/* Whether none of FACTS can count any more, of whatever request. */
+/* Whether all FACTS are too old to affect any verdict. */
 bool quar_is_expired (const GArray *facts, int64_t now_ms);
 
 #endif
