--- a/quar.c
+++ b/quar.c
@@ -447,23 +447,23 @@
   for (i = 0; i < r->n; i++, before = e)
     {
       e = &r->crashes[i].crash;
-      if ((v->crashes > 0 && !is_other_incident (e, last, before->at_ms))
+      if ((v->incidents > 0 && !is_other_incident (e, last, before->at_ms))
           || has_likelier_cause (q, r, e->endpoint))
         continue;
       v->probability *= MIN (1.0, rate * (double)MAX (e->ran_ms, RAN_MIN_MS));
       last = e->at_ms;
-      v->crashes++;
+      v->incidents++;
     }
   v->until_ms = last
                 + (v->probability <= QUARANTINE_PROBABILITY_MAX
-                       ? quarantine_length_ms (q, v->crashes)
+                       ? quarantine_length_ms (q, v->incidents)
                        : q->quarantine_ms);
 }
 
 static bool
 is_significant (const struct quar_verdict *v)
 {
-  return v->crashes >= INCIDENTS_MIN
+  return v->incidents >= INCIDENTS_MIN
          && v->probability <= QUARANTINE_PROBABILITY_MAX;
 }
 
@@ -513,9 +513,9 @@
   explained = find_explained_crashes (q, crashes, endpoints);
   estimate_chance (q, r, rate_of_others (crashes, r, explained, endpoints),
                    &v);
-  v.is_quarantined = (v.crashes >= INCIDENTS_CERTAIN || is_significant (&v))
+  v.is_quarantined = (v.incidents >= INCIDENTS_CERTAIN || is_significant (&v))
                      && now_ms < v.until_ms;
-  v.is_suspect = !v.is_quarantined && v.crashes >= INCIDENTS_MIN
+  v.is_suspect = !v.is_quarantined && v.incidents >= INCIDENTS_MIN
                  && v.probability <= SUSPECT_PROBABILITY_MAX
                  && now_ms < v.until_ms;
   return v;
--- a/quar.h
+++ b/quar.h
@@ -46,7 +46,7 @@
 {
   bool is_quarantined; /* refuse the request */
   bool is_suspect; /* not quarantined, but run it on one endpoint at a time */
-  int crashes; /* incidents that no other request explains better; endpoints
+  int incidents; /* incidents that no other request explains better; endpoints
                   that crash together are one incident */
   double probability; /* that these incidents coincided by chance */
   int64_t until_ms;   /* end of the quarantine */
--- a/relayquar.c
+++ b/relayquar.c
@@ -80,7 +80,7 @@
     return HOLD_NONE;
   now_ms = o->clock_ms (o->quar_arg, now_us);
   v = quar_evaluate (o->quar, relay_identity (r), count_endpoints (r), now_ms);
-  if (v.crashes == 0)
+  if (v.incidents == 0)
     return HOLD_NONE;
   r->suspect = v.is_suspect;
   if (v.is_quarantined)
@@ -91,7 +91,7 @@
              "req=%s digest=%s outcome=%s crashes=%d chance=%.1e "
              "left_ms=%" G_GINT64_FORMAT,
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
-             v.crashes, v.probability,
+             v.incidents, v.probability,
              (gint64)(v.is_quarantined ? v.until_ms - now_ms : 0));
   met_add (MET_HELD, hold == HOLD_CRASHES);
   met_add (MET_DEFERRED, hold == HOLD_TURN);
