--- a/quarfeed.c
+++ b/quarfeed.c
@@ -1,4 +1,4 @@
-/* Evidence against requests that crash endpoints, shared with other VMs. */
+/* Sharing of evidence about requests that crash endpoints with other VMs. */
 #include "quarfeed.h"
 
 #include <sodium.h>
@@ -8,112 +8,116 @@
 #include "log.h"
 #include "met.h"
 
-/* Names of rows: one of each VM, and that of the key for datagrams. */
+/* Row names: one row for each VM, and one for the key of the datagrams. */
 #define VM_PREFIX "vm/"
 #define KEY_ROW "key"
 
-/* A poll in calm, of which a fifth is drawn: all VMs start together.  The
-   platform holds one for 30 s at most. */
-#define WAIT_US (25 * CQ_US_PER_S)
-#define WAIT_SPREAD 5
-/* A poll while endpoints crash, or no key is known: its connection may have
-   gone silent, and nothing else shows that. */
-#define WAIT_ALERT_US (2 * CQ_US_PER_S)
+/* How long a poll waits for changes normally.  It is shortened by up to a
+   fifth at random, since all VMs may start together.  The platform lets a poll
+   wait for 30 s at most. */
+#define POLL_WAIT_US (25 * CQ_US_PER_S)
+#define POLL_WAIT_JITTER_DIVISOR 5
+/* Likewise while endpoints crash, or while no key is known.  The connection
+   may be dead without an error, which only the end of the poll shows. */
+#define POLL_WAIT_ALERT_US (2 * CQ_US_PER_S)
 #define ALERT_US (10 * CQ_US_PER_S)
-/* Between the starts of two polls, and between two writes: each crash brings
-   as many rows as VMs saw it, and what is not heard by poll is heard by
-   datagram.
- */
-#define POLL_GAP_US (1 * CQ_US_PER_S)
-#define WRITE_GAP_US (300 * CQ_US_PER_MS)
-/* After a failed call, doubled up to the longest, and as much again drawn. */
-#define PAUSE_FIRST_US (100 * CQ_US_PER_MS)
-#define PAUSE_MAX_US (2 * CQ_US_PER_S)
-/* A VM that has not read the table serves after this all the same: it must not
-   be out of service for the sake of a single request. */
-#define KNOWN_MAX_US (1 * CQ_US_PER_S)
-/* Datagrams get lost: the same again after these pauses. */
-#define AGAIN_US (200 * CQ_US_PER_MS)
-#define AGAIN_TIMES 4
-/* Between looks for facts that are too old. */
-#define EXPIRE_US (10 * CQ_US_PER_S)
-/* A fact from later than this says that a clock is wrong. */
-#define AHEAD_MAX_MS 2000
-
+/* Shortest intervals between the starts of two polls, and between two writes.
+   Each crash changes the rows of all VMs that observed it, and what a poll has
+   not returned yet arrives by datagram. */
+#define POLL_INTERVAL_US (1 * CQ_US_PER_S)
+#define WRITE_INTERVAL_US (300 * CQ_US_PER_MS)
+/* Backoff after a failed call: doubled at each failure up to the maximum, plus
+   as much again of jitter. */
+#define BACKOFF_FIRST_US (100 * CQ_US_PER_MS)
+#define BACKOFF_MAX_US (2 * CQ_US_PER_S)
+/* A VM that could not read the table serves requests after this time, since it
+   must not stay out of service because of a single harmful request. */
+#define READY_TIMEOUT_US (1 * CQ_US_PER_S)
+/* Datagrams may get lost, so each is sent SENDS_MAX times in all, at this
+   interval. */
+#define RESEND_INTERVAL_US (200 * CQ_US_PER_MS)
+#define SENDS_MAX 4
+/* Interval of the search for expired facts. */
+#define EXPIRE_INTERVAL_US (10 * CQ_US_PER_S)
+/* A fact that is further in the future shows that a clock is wrong. */
+#define FUTURE_MAX_MS 2000
+
+/* State of the sharing. */
 struct quarfeed
 {
-  struct quarfeed_opts opts;       /* as made */
+  struct quarfeed_opts opts;       /* as passed to quarfeed_new */
   char *row;                       /* name of this VM's row */
-  uint8_t key[QUARWIRE_KEY_BYTES]; /* for datagrams */
-  bool has_key;                    /* it is known */
-  bool known;                      /* the table was read */
-  int64_t version;                 /* to ask for changes after */
-  int64_t started_us;              /* began to ask */
-  int64_t asked_us;                /* the last poll was sent */
-  int64_t wrote_us;                /* the last write was sent */
-  int64_t alert_us;                /* something new was heard */
-  int64_t pause_us;                /* after the next failure */
-  GRand *rand;                     /* for pauses */
-  struct loop_timer poll;          /* next poll */
-  struct loop_timer put;           /* next write */
-  struct loop_timer again;         /* next datagram */
-  struct loop_timer expire;        /* next look for old facts */
-  int agains;                      /* datagrams left to send */
+  uint8_t key[QUARWIRE_KEY_BYTES]; /* key of the datagrams */
+  bool has_key;                    /* the key is known */
+  bool is_synced;                  /* the table was read once */
+  int64_t version;                 /* version after which to ask for changes */
+  int64_t started_us;              /* time of the start */
+  int64_t polled_us;               /* last poll sent */
+  int64_t wrote_us;                /* last write sent */
+  int64_t alert_us;                /* last new evidence */
+  int64_t backoff_us;              /* backoff after the next failure */
+  GRand *rand;                     /* for the jitter */
+  struct loop_timer poll_timer;    /* next poll */
+  struct loop_timer write_timer;   /* next write */
+  struct loop_timer resend_timer;  /* next datagram */
+  struct loop_timer expire_timer;  /* next search for expired facts */
+  int sends_left;                  /* datagrams left to send */
   bool polling;                    /* a poll is under way */
   bool writing;                    /* a write is under way */
-  bool offering;                   /* a key is being written */
-  bool reread;                     /* the next poll reads all */
-  bool whole;                      /* the poll under way does */
-  bool key_listed;                 /* the key was among the rows of a read */
-  bool dirty;                      /* the row says less than is known */
-  guint written; /* facts in the row as it was written last */
-  bool stopped;  /* asks and tells nothing more */
+  bool writing_key;                /* a key is being written */
+  bool needs_full_read;            /* the next poll reads all rows */
+  bool is_full_read;               /* the poll under way reads all rows */
+  bool is_key_stored;              /* the latest read returned the key */
+  bool is_dirty;                   /* the row must be written again */
+  guint written_facts;             /* facts in the row when last written */
+  bool stopped;                    /* quarfeed_stop was called */
 };
 
 static int64_t
-drawn (struct quarfeed *f, int64_t us)
+add_jitter (struct quarfeed *f, int64_t us)
 {
   return us + g_rand_int_range (f->rand, 0, (gint32)us);
 }
 
 /* --- facts ----------------------------------------------------------- */
 
-/* A fact of the future would stay newer than any answer, and hold for longer
-   than it should. */
+/* A fact from the future would stay newer than any completion of the request,
+   and the quarantine would last too long. */
 static bool
-take_fact (struct quarfeed *f, const struct quar_fact *fact, bool own,
-           int64_t now_us)
+add_fact (struct quarfeed *f, const struct quar_fact *fact, bool own,
+          int64_t now_us)
 {
   int64_t now_ms = f->opts.clock_ms (f->opts.arg, now_us);
   struct quar_fact g = *fact;
 
-  if (now_ms > 0 && g.crash.at_ms > now_ms + AHEAD_MAX_MS)
+  if (now_ms > 0 && g.crash.at_ms > now_ms + FUTURE_MAX_MS)
     g.crash.at_ms = now_ms;
   return quar_add_fact (f->opts.quar, &g, own);
 }
 
 static guint
-take_facts (struct quarfeed *f, const GArray *facts, bool own,
-            const char *source, int64_t now_us)
+add_facts (struct quarfeed *f, const GArray *facts, bool own,
+           const char *source, int64_t now_us)
 {
-  guint i, news = 0;
+  guint i, added = 0;
 
   for (i = 0; i < facts->len; i++)
-    news += take_fact (f, &g_array_index (facts, struct quar_fact, i), own,
+    added += add_fact (f, &g_array_index (facts, struct quar_fact, i), own,
                        now_us);
-  if (news == 0)
+  if (added == 0)
     return 0;
   f->alert_us = now_us;
   log_event (LOG_LEVEL_INFO, "evidence",
-             "source=%s outcome=taken facts=%u of=%u", source, news,
+             "source=%s outcome=taken facts=%u of=%u", source, added,
              facts->len);
-  return news;
+  return added;
 }
 
 /* --- datagrams ------------------------------------------------------- */
 
-/* What this VM saw, and all of the requests that matter most: a VM that missed
-   the datagrams of others gets it from whoever has it. */
+/* Send this VM's facts, and all facts about the requests with the most
+   crashes, so that a VM that missed a datagram gets its facts from any other
+   VM. */
 static void
 send_facts (struct quarfeed *f)
 {
@@ -132,13 +136,13 @@
 }
 
 static void
-on_again (void *arg, int64_t now_us)
+on_resend_timer (void *arg, int64_t now_us)
 {
   struct quarfeed *f = arg;
 
   send_facts (f);
-  if (--f->agains > 0)
-    loop_arm (f->opts.loop, &f->again, now_us + AGAIN_US);
+  if (--f->sends_left > 0)
+    loop_arm (f->opts.loop, &f->resend_timer, now_us + RESEND_INTERVAL_US);
 }
 
 bool
@@ -154,7 +158,7 @@
       || !quarwire_open ((const uint8_t *)data, len, f->key, facts))
     met_add (MET_LOADS_UNREAD, 1);
   else
-    take_facts (f, facts, false, "datagram", now_us);
+    add_facts (f, facts, false, "datagram", now_us);
   return true;
 }
 
@@ -163,10 +167,10 @@
 static void write_row (struct quarfeed *f, int64_t now_us);
 
 static void
-plan_write (struct quarfeed *f, int64_t due_us)
+schedule_write (struct quarfeed *f, int64_t due_us)
 {
-  if (!f->stopped && !f->writing && !f->put.armed)
-    loop_arm (f->opts.loop, &f->put, due_us);
+  if (!f->stopped && !f->writing && !f->write_timer.armed)
+    loop_arm (f->opts.loop, &f->write_timer, due_us);
 }
 
 static void
@@ -176,15 +180,15 @@
   int64_t now = loop_now_us ();
 
   f->writing = false;
-  f->dirty |= rows->status != QUAR_ROWS_OK;
+  f->is_dirty |= rows->status != QUAR_ROWS_OK;
   log_event (LOG_LEVEL_INFO, "evidence",
              "source=table outcome=%s facts=%u took_us=%" G_GINT64_FORMAT,
              rows->status == QUAR_ROWS_OK ? "written" : "not_written",
-             f->written, (gint64)(now - f->wrote_us));
-  if (f->dirty)
-    plan_write (f, rows->status == QUAR_ROWS_OK
-                       ? f->wrote_us + WRITE_GAP_US
-                       : now + drawn (f, WRITE_GAP_US));
+             f->written_facts, (gint64)(now - f->wrote_us));
+  if (f->is_dirty)
+    schedule_write (f, rows->status == QUAR_ROWS_OK
+                           ? f->wrote_us + WRITE_INTERVAL_US
+                           : now + add_jitter (f, WRITE_INTERVAL_US));
 }
 
 static void
@@ -194,25 +198,26 @@
       = g_array_new (FALSE, FALSE, sizeof (struct quar_fact));
   g_autoptr (GByteArray) value = NULL;
 
-  /* What an earlier process of this VM wrote must be read first, or it would
-     be written over.  After a write that is under way this is planned anew. */
-  if (!f->known || f->writing)
+  /* The row that an earlier incarnation of this VM wrote must be read first,
+     or this would overwrite it.  on_written schedules the next write if one is
+     under way. */
+  if (!f->is_synced || f->writing)
     return;
   quar_own_facts (f->opts.quar, facts, QUARWIRE_ROW_MAX);
   if (facts->len > 0)
     value = quarwire_encode (facts, QUARWIRE_ROW_MAX);
-  f->dirty = false;
-  if (facts->len == 0 && f->written == 0)
+  f->is_dirty = false;
+  if (facts->len == 0 && f->written_facts == 0)
     return;
   f->writing = true;
   f->wrote_us = now_us;
-  f->written = facts->len;
+  f->written_facts = facts->len;
   f->opts.ops.write (f->opts.ops.ctx, f->row, value, QUAR_ANY_VERSION,
                      on_written, f);
 }
 
 static void
-on_put (void *arg, int64_t now_us)
+on_write_timer (void *arg, int64_t now_us)
 {
   write_row (arg, now_us);
 }
@@ -221,89 +226,89 @@
 quarfeed_changed (struct quarfeed *f, int64_t now_us)
 {
   f->alert_us = now_us;
-  f->dirty = true;
-  f->agains = AGAIN_TIMES;
+  f->is_dirty = true;
+  f->sends_left = SENDS_MAX;
   if (f->stopped)
     return;
-  if (!f->again.armed)
-    on_again (f, now_us);
-  if (f->known)
-    plan_write (f, MAX (now_us, f->wrote_us + WRITE_GAP_US));
+  if (!f->resend_timer.armed)
+    on_resend_timer (f, now_us);
+  if (f->is_synced)
+    schedule_write (f, MAX (now_us, f->wrote_us + WRITE_INTERVAL_US));
 }
 
 /* --- the key --------------------------------------------------------- */
 
 static void
-take_key (struct quarfeed *f, const struct quar_row *row)
+apply_key (struct quarfeed *f, const struct quar_row *row)
 {
   if (row->value == NULL || row->value->len != sizeof f->key)
     return;
   memcpy (f->key, row->value->data, sizeof f->key);
   f->has_key = true;
-  f->key_listed = true;
+  f->is_key_stored = true;
 }
 
 static void
-on_offered (void *arg, const struct quar_rows_reply *rows)
+on_key_written (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
   guint i;
 
-  f->offering = false;
-  /* Whoever was first gave the key; of a call without an answer the next poll
-     tells. */
+  f->writing_key = false;
+  /* The first VM to write the row determines the key.  If the call got no
+     reply, the next poll returns the row. */
   for (i = 0; rows->status == QUAR_ROWS_CONFLICT && i < rows->rows->len; i++)
     if (strcmp (g_array_index (rows->rows, struct quar_row, i).key, KEY_ROW)
         == 0)
-      take_key (f, &g_array_index (rows->rows, struct quar_row, i));
+      apply_key (f, &g_array_index (rows->rows, struct quar_row, i));
   if (rows->status == QUAR_ROWS_OK)
-    f->has_key = f->key_listed = true;
+    f->has_key = f->is_key_stored = true;
 }
 
-/* The platform holds it, as it holds all that VMs share. */
+/* Write the key to the table, which is where VMs keep what they share. */
 static void
-offer_key (struct quarfeed *f)
+write_key (struct quarfeed *f)
 {
   g_autoptr (GByteArray) value = NULL;
 
-  if ((f->has_key && f->key_listed) || f->offering || f->stopped)
+  if ((f->has_key && f->is_key_stored) || f->writing_key || f->stopped)
     return;
-  f->offering = true;
+  f->writing_key = true;
   if (!f->has_key)
     randombytes_buf (f->key, sizeof f->key);
   value = g_byte_array_new ();
   g_byte_array_append (value, f->key, sizeof f->key);
-  f->opts.ops.write (f->opts.ops.ctx, KEY_ROW, value, 0, on_offered, f);
+  f->opts.ops.write (f->opts.ops.ctx, KEY_ROW, value, 0, on_key_written, f);
 }
 
 /* --- rows ------------------------------------------------------------ */
 
 static void
-on_collected (void *arg, const struct quar_rows_reply *rows)
+on_row_removed (void *arg, const struct quar_rows_reply *rows)
 {
   struct quarfeed *f = arg;
 
   (void)rows;
   f->writing = false;
-  if (f->dirty)
-    plan_write (f, loop_now_us ());
+  if (f->is_dirty)
+    schedule_write (f, loop_now_us ());
 }
 
-/* Rows of VMs that were replaced say nothing any more after a time, and nobody
-   else removes them.  One at a time, by whoever reads all: a VM that starts.
- */
+/* Remove the row of a VM that was replaced, once all its facts have expired;
+   nothing else removes such rows.  Only a VM that reads all rows, as at its
+   start, does so, one row at a time. */
 static void
-collect (struct quarfeed *f, const struct quar_row *row)
+remove_row (struct quarfeed *f, const struct quar_row *row)
 {
-  if (!f->whole || f->writing || strcmp (row->key, f->row) == 0)
+  if (!f->is_full_read || f->writing || strcmp (row->key, f->row) == 0)
     return;
   f->writing = true;
   f->opts.ops.write (f->opts.ops.ctx, row->key, NULL, row->version,
-                     on_collected, f);
+                     on_row_removed, f);
 }
 
 static void
-take_row (struct quarfeed *f, const struct quar_row *row, int64_t now_us)
+apply_row (struct quarfeed *f, const struct quar_row *row, int64_t now_us)
 {
   g_autoptr (GArray) facts
       = g_array_new (FALSE, FALSE, sizeof (struct quar_fact));
@@ -311,7 +316,7 @@
   int64_t now_ms = f->opts.clock_ms (f->opts.arg, now_us);
 
   if (strcmp (row->key, KEY_ROW) == 0)
-    take_key (f, row);
+    apply_key (f, row);
   if (row->value == NULL || !g_str_has_prefix (row->key, VM_PREFIX))
     return;
   if (!quarwire_decode (row->value->data, row->value->len, facts))
@@ -321,17 +326,18 @@
                  "source=table outcome=unreadable row=%s", row->key);
       return;
     }
-  /* Of an earlier process of this VM; later its own writes come back. */
-  if (own && !f->known)
-    f->written = facts->len;
-  take_facts (f, facts, own && !f->known, "table", now_us);
+  /* At the first read, this VM's row is that of an earlier incarnation; later
+     reads return its own writes. */
+  if (own && !f->is_synced)
+    f->written_facts = facts->len;
+  add_facts (f, facts, own && !f->is_synced, "table", now_us);
   if (now_ms > 0 && quar_is_expired (facts, now_ms))
-    collect (f, row);
+    remove_row (f, row);
 }
 
 /* --- polls ----------------------------------------------------------- */
 
-static void ask (struct quarfeed *f, int64_t now_us);
+static void start_poll (struct quarfeed *f, int64_t now_us);
 
 static void
 on_rows (void *arg, const struct quar_rows_reply *rows)
@@ -343,84 +349,89 @@
   f->polling = false;
   if (f->stopped)
     return;
-  /* What was lost with it may be this VM's own row. */
+  /* This VM's own row may have been lost with the history. */
   if (rows->status == QUAR_ROWS_HISTORY_EXPIRED)
     {
-      f->reread = true;
-      f->dirty = true;
+      f->needs_full_read = true;
+      f->is_dirty = true;
     }
   if (rows->status != QUAR_ROWS_OK)
     {
-      f->reread |= !f->key_listed;
-      loop_arm (f->opts.loop, &f->poll, now + drawn (f, f->pause_us));
-      f->pause_us = MIN (2 * f->pause_us, PAUSE_MAX_US);
+      f->needs_full_read |= !f->is_key_stored;
+      loop_arm (f->opts.loop, &f->poll_timer,
+                now + add_jitter (f, f->backoff_us));
+      f->backoff_us = MIN (2 * f->backoff_us, BACKOFF_MAX_US);
       return;
     }
-  f->pause_us = PAUSE_FIRST_US;
+  f->backoff_us = BACKOFF_FIRST_US;
   for (i = 0; i < rows->rows->len; i++)
-    take_row (f, &g_array_index (rows->rows, struct quar_row, i), now);
+    apply_row (f, &g_array_index (rows->rows, struct quar_row, i), now);
   f->version = MAX (rows->version, 1);
-  /* Without the platform's clock no row could be told to be old. */
-  f->reread |= f->whole && f->opts.clock_ms (f->opts.arg, now) == 0;
-  if (!f->known)
+  /* Without the platform's clock, expired rows could not be recognized. */
+  f->needs_full_read
+      |= f->is_full_read && f->opts.clock_ms (f->opts.arg, now) == 0;
+  if (!f->is_synced)
     log_event (LOG_LEVEL_INFO, "evidence",
                "source=table outcome=known rows=%u took_us=%" G_GINT64_FORMAT,
                rows->rows->len, (gint64)(now - f->started_us));
-  f->known = true;
-  offer_key (f);
-  if (f->dirty)
-    plan_write (f, now);
-  loop_arm (f->opts.loop, &f->poll, MAX (now, f->asked_us + POLL_GAP_US));
+  f->is_synced = true;
+  write_key (f);
+  if (f->is_dirty)
+    schedule_write (f, now);
+  loop_arm (f->opts.loop, &f->poll_timer,
+            MAX (now, f->polled_us + POLL_INTERVAL_US));
 }
 
 static int64_t
-wait_us (struct quarfeed *f, int64_t now_us)
+poll_wait_us (struct quarfeed *f, int64_t now_us)
 {
   if (!f->has_key || (f->alert_us != 0 && now_us - f->alert_us < ALERT_US))
-    return WAIT_ALERT_US;
-  return WAIT_US - g_rand_int_range (f->rand, 0, WAIT_US / WAIT_SPREAD);
+    return POLL_WAIT_ALERT_US;
+  return POLL_WAIT_US
+         - g_rand_int_range (f->rand, 0,
+                             POLL_WAIT_US / POLL_WAIT_JITTER_DIVISOR);
 }
 
 static void
-ask (struct quarfeed *f, int64_t now_us)
+start_poll (struct quarfeed *f, int64_t now_us)
 {
   const struct quar_ops *o = &f->opts.ops;
 
   if (f->polling || f->stopped)
     return;
   f->polling = true;
-  f->asked_us = now_us;
-  f->whole = f->version == 0 || f->reread;
-  if (f->whole)
+  f->polled_us = now_us;
+  f->is_full_read = f->version == 0 || f->needs_full_read;
+  if (f->is_full_read)
     {
-      f->reread = false;
-      f->key_listed = false;
+      f->needs_full_read = false;
+      f->is_key_stored = false;
       o->read (o->ctx, on_rows, f);
     }
   else
-    o->changes (o->ctx, f->version, wait_us (f, now_us), on_rows, f);
+    o->changes (o->ctx, f->version, poll_wait_us (f, now_us), on_rows, f);
 }
 
-/* A poll that is under way may go on waiting in the new era; the read comes
-   after it. */
+/* A poll that is under way may continue to wait on the restored store; the
+   full read follows it. */
 void
 quarfeed_store_restored (struct quarfeed *f, int64_t now_us)
 {
-  f->reread = true;
-  f->dirty = true;
+  f->needs_full_read = true;
+  f->is_dirty = true;
   f->alert_us = now_us;
-  if (f->known)
-    plan_write (f, now_us);
+  if (f->is_synced)
+    schedule_write (f, now_us);
 }
 
 static void
-on_poll (void *arg, int64_t now_us)
+on_poll_timer (void *arg, int64_t now_us)
 {
-  ask (arg, now_us);
+  start_poll (arg, now_us);
 }
 
 static void
-on_expire (void *arg, int64_t now_us)
+on_expire_timer (void *arg, int64_t now_us)
 {
   struct quarfeed *f = arg;
   int64_t now_ms = f->opts.clock_ms (f->opts.arg, now_us);
@@ -428,17 +439,17 @@
   if (now_ms > 0 && quar_has_records (f->opts.quar))
     {
       quar_expire (f->opts.quar, now_ms);
-      /* The row shrinks with what is kept. */
-      if (quar_count_own_facts (f->opts.quar) != f->written)
-        plan_write (f, now_us);
+      /* Remove expired facts from the row, too. */
+      if (quar_count_own_facts (f->opts.quar) != f->written_facts)
+        schedule_write (f, now_us);
     }
-  loop_arm (f->opts.loop, &f->expire, now_us + EXPIRE_US);
+  loop_arm (f->opts.loop, &f->expire_timer, now_us + EXPIRE_INTERVAL_US);
 }
 
 bool
 quarfeed_is_ready (const struct quarfeed *f, int64_t now_us)
 {
-  return f->known || now_us - f->started_us > KNOWN_MAX_US;
+  return f->is_synced || now_us - f->started_us > READY_TIMEOUT_US;
 }
 
 /* --- start and end --------------------------------------------------- */
@@ -459,11 +470,11 @@
   f->opts = *opts;
   f->row = g_strconcat (VM_PREFIX, opts->vm, NULL);
   f->rand = g_rand_new_with_seed ((guint32)opts->seed);
-  f->pause_us = PAUSE_FIRST_US;
-  set_timer (&f->poll, on_poll, f);
-  set_timer (&f->put, on_put, f);
-  set_timer (&f->again, on_again, f);
-  set_timer (&f->expire, on_expire, f);
+  f->backoff_us = BACKOFF_FIRST_US;
+  set_timer (&f->poll_timer, on_poll_timer, f);
+  set_timer (&f->write_timer, on_write_timer, f);
+  set_timer (&f->resend_timer, on_resend_timer, f);
+  set_timer (&f->expire_timer, on_expire_timer, f);
   return f;
 }
 
@@ -471,24 +482,24 @@
 quarfeed_start (struct quarfeed *f, int64_t now_us)
 {
   f->started_us = now_us;
-  loop_arm (f->opts.loop, &f->expire, now_us + EXPIRE_US);
-  ask (f, now_us);
+  loop_arm (f->opts.loop, &f->expire_timer, now_us + EXPIRE_INTERVAL_US);
+  start_poll (f, now_us);
 }
 
 void
 quarfeed_stop (struct quarfeed *f)
 {
   f->stopped = true;
-  loop_disarm (&f->poll);
-  loop_disarm (&f->put);
-  loop_disarm (&f->again);
-  loop_disarm (&f->expire);
+  loop_disarm (&f->poll_timer);
+  loop_disarm (&f->write_timer);
+  loop_disarm (&f->resend_timer);
+  loop_disarm (&f->expire_timer);
 }
 
 int
 quarfeed_pending_calls (const struct quarfeed *f)
 {
-  return f->polling + f->writing + f->offering;
+  return f->polling + f->writing + f->writing_key;
 }
 
 void
--- a/quarfeed.h
+++ b/quarfeed.h
@@ -1,10 +1,11 @@
 /*
- * Evidence against requests that crash endpoints, shared with other VMs: a row
- * of each VM in a table of our own on the platform, and sealed datagrams.
+ * Sharing of evidence about requests that crash endpoints: each VM has a row
+ * in a table on the platform that is reserved for this, and VMs send encrypted
+ * datagrams to each other.
  *
- * The table holds it across restarts and reaches VMs that no datagram does;
- * the datagrams are there in some ms, and in a failure domain that is cut off
- * from the platform.
+ * The table keeps the evidence across restarts and reaches VMs that datagrams
+ * do not reach.  Datagrams arrive within some ms, also in a failure domain
+ * that is cut off from the platform.
  */
 #ifndef CQ_QUARFEED_H
 #define CQ_QUARFEED_H
@@ -15,77 +16,84 @@
 /* A row of the table. */
 struct quar_row
 {
-  char *key;         /* its name */
-  int64_t version;   /* of its last change */
-  GByteArray *value; /* NULL once removed */
+  char *key;         /* name of the row */
+  int64_t version;   /* version of its last change */
+  GByteArray *value; /* NULL if the row was removed */
 };
 
+/* Result of a call to the table. */
 enum quar_rows_status
 {
   QUAR_ROWS_OK,
-  QUAR_ROWS_HISTORY_EXPIRED, /* changes since then are not to be had: read all
-                              */
-  QUAR_ROWS_CONFLICT,        /* a row is not as the write expected */
-  QUAR_ROWS_FAILED           /* refused, or no answer */
+  QUAR_ROWS_HISTORY_EXPIRED, /* the table no longer has the changes since
+                                that version; read all rows */
+  QUAR_ROWS_CONFLICT,        /* a row does not have the expected version */
+  QUAR_ROWS_FAILED           /* refused, or no reply */
 };
 
+/* Reply of the table; valid during the callback only. */
 struct quar_rows_reply
 {
-  enum quar_rows_status status; /* whether the rest counts */
-  int64_t version;              /* to ask for changes after */
-  GArray *rows; /* struct quar_row: read, changed or in conflict */
+  enum quar_rows_status status; /* result of the call */
+  int64_t version;              /* version after which to ask for changes */
+  GArray *rows; /* struct quar_row: rows read, changed or in conflict */
 };
 
 typedef void (*quar_rows_done) (void *arg, const struct quar_rows_reply *rows);
 
-#define QUAR_ANY_VERSION INT64_C (-1) /* of a row that may be as it is */
+#define QUAR_ANY_VERSION INT64_C (-1) /* write whatever version the row has   \
+                                       */
 
-/* The table, as an adapter offers it; DONE is called once. */
+/* Access to the table, implemented by an adapter.  Each call invokes DONE
+   exactly once. */
 struct quar_ops
 {
+  /* Read all rows. */
   void (*read) (void *ctx, quar_rows_done done, void *arg);
-  /* Changes after VERSION, waited for up to WAIT_US. */
+  /* Read changes after VERSION; waits for one for up to WAIT_US. */
   void (*changes) (void *ctx, int64_t version, int64_t wait_us,
                    quar_rows_done done, void *arg);
-  /* Write VALUE, or remove the row if it is NULL, if its version is EXPECTED;
-     0 if there must be none. */
+  /* Write VALUE, or remove the row if VALUE is NULL, provided that its version
+     is EXPECTED; 0 if the row must not exist. */
   void (*write) (void *ctx, const char *key, const GByteArray *value,
                  int64_t expected, quar_rows_done done, void *arg);
-  void *ctx; /* passed to all */
+  void *ctx; /* passed to each call */
 };
 
 struct quarfeed_opts
 {
-  struct loop *loop;   /* whose thread runs it */
-  struct quar *quar;   /* evidence */
-  struct quar_ops ops; /* adapter */
+  struct loop *loop;   /* loop of the thread that runs it */
+  struct quar *quar;   /* evidence to share */
+  struct quar_ops ops; /* access to the table */
   const char *vm;      /* this VM's name */
-  /* The platform's clock, 0 if that is not known. */
+  /* The platform's clock in ms, 0 while it is not known. */
   int64_t (*clock_ms) (void *arg, int64_t now_us);
-  /* Send a datagram to other VMs; NULL if none are spoken to. */
+  /* Send a datagram to other VMs; NULL without datagrams. */
   void (*send) (void *arg, const GByteArray *datagram);
   void *arg;     /* passed to both */
-  uint64_t seed; /* of pauses */
+  uint64_t seed; /* seed of the jitter */
 };
 
 struct quarfeed;
 
 struct quarfeed *quarfeed_new (const struct quarfeed_opts *opts);
 void quarfeed_start (struct quarfeed *f, int64_t now_us);
-/* This VM saw something: tell the others. */
+/* This VM added a fact of its own: share it. */
 void quarfeed_changed (struct quarfeed *f, int64_t now_us);
-/* The platform's store came back from an older copy: what was written since is
-   gone. */
+/* The platform's store was restored from an older copy, so recent writes may
+   be lost: read all rows and write this VM's row again. */
 void quarfeed_store_restored (struct quarfeed *f, int64_t now_us);
-/* A datagram from another VM; false if it is none. */
+/* Handle a datagram from another VM; returns false if it is not one of
+   evidence. */
 bool quarfeed_receive (struct quarfeed *f, const char *data, size_t len,
                        int64_t now_us);
-/* Whether what others saw was read, or was waited for long enough. */
+/* Whether the table was read, or enough time was spent on trying. */
 bool quarfeed_is_ready (const struct quarfeed *f, int64_t now_us);
-/* Ask and tell nothing more. */
+/* Send no more calls and datagrams. */
 void quarfeed_stop (struct quarfeed *f);
+/* To be called once no call is pending. */
 void quarfeed_free (struct quarfeed *f);
-/* Calls to the platform under way. */
+/* Number of calls to the platform without a reply yet. */
 int quarfeed_pending_calls (const struct quarfeed *f);
 
 #endif
--- a/quarwire.c
+++ b/quarwire.c
@@ -1,4 +1,4 @@
-/* Facts about requests that crash endpoints, as bytes. */
+/* Encoding of facts about requests that crash endpoints. */
 #include "quarwire.h"
 
 #include <sodium.h>
@@ -6,23 +6,24 @@
 
 #include "peer.h"
 
-/* No request runs for longer; what says so was not written by a VM. */
-#define RAN_MAX_MS 86400000
-/* Bytes of one fact, and of their count before them. */
+/* No request runs for longer; a fact with a longer run was not written by a
+   VM. */
+#define RUN_MAX_MS 86400000
+/* Encoded size of a fact, and of the count that precedes the facts. */
 #define FACT_BYTES (REQID_BYTES + 8 + 8 + 4)
 #define COUNT_BYTES 4
 
-/* First bytes of a sealed datagram: no word about work begins so, since that
-   begins with the length of a name. */
-static const uint8_t mark[4] = { 0xc4, 'q', 'f', '1' };
+/* First bytes of a sealed datagram.  Load gossip cannot begin with them, since
+   its messages begin with the length of a name. */
+static const uint8_t magic[4] = { 0xc4, 'q', 'f', '1' };
 
 static void
-put (const struct quar_fact *f, peer_fact *to)
+encode_fact (const struct quar_fact *f, peer_fact *to)
 {
   memcpy (to->request, f->id.bytes, sizeof to->request);
   to->endpoint = f->completed ? 0 : f->crash.endpoint;
   to->at_ms = (uint64_t)MAX (f->crash.at_ms, 0);
-  to->ran_ms = (u_int)CLAMP (f->crash.ran_ms, 0, RAN_MAX_MS);
+  to->ran_ms = (u_int)CLAMP (f->crash.ran_ms, 0, RUN_MAX_MS);
 }
 
 GByteArray *
@@ -36,7 +37,7 @@
   guint i;
 
   for (i = 0; i < n; i++)
-    put (&g_array_index (facts, struct quar_fact, i), &list[i]);
+    encode_fact (&g_array_index (facts, struct quar_fact, i), &list[i]);
   g_byte_array_set_size (out, COUNT_BYTES + n * FACT_BYTES);
   xdrmem_create (&x, (char *)out->data, out->len, XDR_ENCODE);
   if (!xdr_peer_facts (&x, &all))
@@ -46,7 +47,7 @@
 }
 
 static bool
-get (const peer_fact *from, struct quar_fact *f)
+decode_fact (const peer_fact *from, struct quar_fact *f)
 {
   memset (f, 0, sizeof *f);
   memcpy (f->id.bytes, from->request, sizeof f->id.bytes);
@@ -55,7 +56,7 @@
   f->crash.at_ms = (int64_t)from->at_ms;
   f->crash.ran_ms = (int64_t)from->ran_ms;
   return from->at_ms > 0 && from->at_ms <= G_MAXINT64 / 2
-         && from->ran_ms <= RAN_MAX_MS;
+         && from->ran_ms <= RUN_MAX_MS;
 }
 
 bool
@@ -63,26 +64,26 @@
 {
   peer_facts all = { 0 };
   struct quar_fact f;
-  bool good;
+  bool is_valid;
   XDR x;
   u_int i;
 
   if (len > COUNT_BYTES + (size_t)QUARWIRE_ROW_MAX * FACT_BYTES)
     return false;
   xdrmem_create (&x, (char *)data, (u_int)len, XDR_DECODE);
-  good = xdr_peer_facts (&x, &all);
-  for (i = 0; good && i < all.facts.facts_len; i++)
-    if (get (&all.facts.facts_val[i], &f))
+  is_valid = xdr_peer_facts (&x, &all);
+  for (i = 0; is_valid && i < all.facts.facts_len; i++)
+    if (decode_fact (&all.facts.facts_val[i], &f))
       g_array_append_val (facts, f);
   xdr_destroy (&x);
   xdr_free ((xdrproc_t)xdr_peer_facts, &all);
-  return good;
+  return is_valid;
 }
 
 /*
- * Anybody can reach the port.  What is taken from there refuses callers, so it
- * counts only under the VMs' key.  A datagram that is recorded and sent again
- * says nothing new: the same facts are the same evidence.
+ * Anybody can send to the port, and the facts decide which requests are
+ * refused, so a datagram is accepted only under the key that the VMs share.  A
+ * replayed datagram has no effect, since adding known facts changes nothing.
  */
 GByteArray *
 quarwire_seal (const GArray *facts, const uint8_t *key)
@@ -94,7 +95,7 @@
   guint at;
 
   randombytes_buf (nonce, sizeof nonce);
-  g_byte_array_append (out, mark, sizeof mark);
+  g_byte_array_append (out, magic, sizeof magic);
   g_byte_array_append (out, nonce, sizeof nonce);
   at = out->len;
   g_byte_array_set_size (out, at + plain->len + crypto_secretbox_MACBYTES);
@@ -105,16 +106,16 @@
 bool
 quarwire_is_sealed (const uint8_t *data, size_t len)
 {
-  return len >= sizeof mark && memcmp (data, mark, sizeof mark) == 0;
+  return len >= sizeof magic && memcmp (data, magic, sizeof magic) == 0;
 }
 
 bool
 quarwire_open (const uint8_t *data, size_t len, const uint8_t *key,
                GArray *facts)
 {
-  const uint8_t *nonce = data + sizeof mark;
+  const uint8_t *nonce = data + sizeof magic;
   const uint8_t *box = nonce + crypto_secretbox_NONCEBYTES;
-  size_t head = sizeof mark + crypto_secretbox_NONCEBYTES;
+  size_t head = sizeof magic + crypto_secretbox_NONCEBYTES;
   g_autofree uint8_t *plain = NULL;
 
   if (!quarwire_is_sealed (data, len)
--- a/quarwire.h
+++ b/quarwire.h
@@ -1,25 +1,31 @@
 /*
- * Facts about requests that crash endpoints, as bytes: plain in a row of the
- * platform's table, sealed in a datagram to other VMs.
+ * Encoding of facts about requests that crash endpoints: unencrypted in a
+ * row of the platform's table, encrypted and authenticated in a datagram to
+ * other VMs.
  */
 #ifndef CQ_QUARWIRE_H
 #define CQ_QUARWIRE_H
 
 #include "quar.h"
 
-#define QUARWIRE_KEY_BYTES 32    /* of the key that all VMs share */
-#define QUARWIRE_ROW_MAX 128     /* facts of a row */
-#define QUARWIRE_DATAGRAM_MAX 32 /* facts of a datagram, 1.3 KB */
+#define QUARWIRE_KEY_BYTES 32    /* size of the key that all VMs share */
+#define QUARWIRE_ROW_MAX 128     /* facts in a row */
+#define QUARWIRE_DATAGRAM_MAX 32 /* facts in a datagram, 1.3 KB */
 
-/* FACTS is an array of struct quar_fact; more than fit are left out. */
+/* Encode the first MAX of FACTS, an array of struct quar_fact, and at most
+   QUARWIRE_ROW_MAX.  The caller frees the result. */
 GByteArray *quarwire_encode (const GArray *facts, guint max);
-/* Append what the bytes say; false if they are none. */
+/* Append the encoded facts to FACTS; returns false if DATA is malformed.
+   Facts with impossible times are skipped. */
 bool quarwire_decode (const uint8_t *data, size_t len, GArray *facts);
 
-/* The same under KEY; nobody without it can make or read one. */
+/* Encode the first QUARWIRE_DATAGRAM_MAX of FACTS, encrypted and authenticated
+   under KEY. */
 GByteArray *quarwire_seal (const GArray *facts, const uint8_t *key);
-/* Whether the bytes claim to be such a datagram. */
+/* Whether DATA begins as such a datagram does. */
 bool quarwire_is_sealed (const uint8_t *data, size_t len);
+/* Decrypt and decode a datagram; returns false if it is malformed or was not
+   made under KEY. */
 bool quarwire_open (const uint8_t *data, size_t len, const uint8_t *key,
                     GArray *facts);
 
