--- a/entry.c
+++ b/entry.c
@@ -1,4 +1,4 @@
-/* The entry: beliefs, relays and doors put together. */
+/* The entry: sets up the view of the fleet, the relays and the listeners. */
 #include "entry.h"
 
 #include <sodium.h>
@@ -8,61 +8,65 @@
 
 #include "evac.h"
 
-/* A key that was taken away must open nothing once the operator's bound has
-   passed; this much earlier covers what happens between the last look and
-   the first byte. */
-#define REVOKE_MARGIN_US (300 * CQ_US_PER_MS)
-/* A denial must rest on knowledge younger than the time after which a change
-   counts; this much younger covers clocks that run unlike and the way of the
-   refusal through this VM. */
+/* A revoked key must not be accepted once the operator's bound has passed. The
+   margin covers the time between the last check and the first byte sent. */
+#define REVOCATION_MARGIN_US (300 * CQ_US_PER_MS)
+/* A request may be denied only by a configuration that is younger than the
+   time after which changes must be in force.  The margin covers clocks that
+   run at different speeds and the time that the refusal takes in this VM. */
 #define APPLY_MARGIN_US (100 * CQ_US_PER_MS)
-/* Likewise for requests that begin on old weights: one may wait some seconds
-   at a busy endpoint before it begins. */
-#define VERSION_MARGIN_US (3000 * CQ_US_PER_MS)
-/* What has not begun by then is taken back so much before the bound: looks are
-   40 ms apart, and a closed connection reaches a busy endpoint late. */
-#define VERSION_END_MARGIN_US (300 * CQ_US_PER_MS)
-#define ORDER_GAP_SPARE_MS 150 /* orders travel, and clocks run unlike */
-/* The VM that gave orders last frees parts of outdated weights for this long:
-   endpoints on old weights may have had some more to save. */
-#define FREE_DUTY_US (10 * CQ_US_PER_S)
-/* A VM may send a suspect request for so long, and then another one. */
-#define SUSPECT_TURN_MS 2000
-#define SWEEP_US (500 * CQ_US_PER_MS) /* between looks at missing entries */
-#define READY_CONNECTIONS 16          /* the balancer needs one */
-#define READY_MEMORY 2048             /* bytes a connection */
-#define READY_IDLE_S 30               /* seconds without a question */
-
+/* No request is sent to outdated weights this long before their bound, since
+   it may wait for some seconds at a busy endpoint before it starts. */
+#define OUTDATED_ACCEPT_MARGIN_US (3000 * CQ_US_PER_MS)
+/* Requests that have not started on outdated weights are withdrawn this long
+   before the bound: the checks are 40 ms apart, and a busy endpoint notices a
+   closed connection late. */
+#define OUTDATED_START_MARGIN_US (300 * CQ_US_PER_MS)
+/* Covers the delay of orders and clocks that run at different speeds. */
+#define ORDER_INTERVAL_MARGIN_MS 150
+/* The VM that gave orders last continues to free parts of outdated weights for
+   this long, since endpoints on these weights may still save some. */
+#define FREE_OUTDATED_US (10 * CQ_US_PER_S)
+/* Only one VM at a time may send a suspect request; the next one is selected
+   after this time. */
+#define SUSPECT_ROTATION_MS 2000
+/* Interval of checks for missing list entries and parts to be freed. */
+#define SWEEP_INTERVAL_US (500 * CQ_US_PER_MS)
+#define READY_CONNECTIONS 16 /* the load balancer needs one */
+#define READY_MEMORY 2048    /* bytes per connection */
+#define READY_IDLE_S 30      /* seconds without a request */
+
+/* State of the entry; belongs to the thread of its worker. */
 struct entry
 {
-  struct worker *worker;                /* where it runs */
-  struct cfg *settings;                 /* a reference, for cfg */
-  const struct cfg_entry *cfg;          /* declared */
-  void *store;                          /* of the adapter */
-  struct fleet fleet;                   /* beliefs */
-  struct follow *follow;                /* keeps them current */
-  struct orders *orders;                /* weights of endpoints */
-  struct parts parts;                   /* what stores keep */
-  struct partfeed *feed;                /* keeps that current */
-  int64_t conf_row;                     /* configuration that the feed knows */
-  int64_t duty_us;                      /* this VM gave orders last */
-  int64_t era;                          /* of the store, as seen last */
-  struct load_table *book;              /* work of other VMs */
-  struct tell *tell;                    /* tells them of ours; NULL if unset */
-  struct quar *quar;                    /* requests that crash endpoints */
-  struct quarfeed *quarfeed;            /* shares that with other VMs */
-  struct relays *relays;                /* requests under way */
-  struct entry_listener_ctx front_with; /* what the next one works with */
-  struct http_listener *front;          /* callers */
-  struct http_listener *ready;          /* the balancer */
-  int front_fd;                         /* listening socket */
-  int ready_fd;                         /* listening socket */
-  struct loop_timer sweep;              /* missing entries */
-  bool was_ready;                       /* as logged last */
+  struct worker *worker;       /* worker whose loop it runs on */
+  struct cfg *settings;        /* reference that keeps cfg valid */
+  const struct cfg_entry *cfg; /* its settings */
+  void *store;                 /* the adapter's handle of the store */
+  struct fleet fleet;          /* view of the fleet */
+  struct follow *follow;       /* keeps the fleet current */
+  struct orders *orders;       /* orders endpoints to load weights */
+  struct parts parts;          /* parts in stores */
+  struct partfeed *partfeed;   /* keeps the parts current */
+  int64_t conf_row;            /* revision of the configuration in partfeed */
+  int64_t orders_held_us;      /* this VM last held the lease for orders */
+  int64_t era;                 /* era of the store when last checked */
+  struct load_table *loads;    /* load reported by other VMs */
+  struct tell *load_gossip;  /* exchanges load with other VMs; NULL if unset */
+  struct quar *quar;         /* evidence about requests that crash endpoints */
+  struct quarfeed *quarfeed; /* shares quar with other VMs */
+  struct relays *relays;     /* requests under way */
+  struct entry_listener_ctx listener_ctx; /* context of caller_listener */
+  struct http_listener *caller_listener;  /* accepts callers */
+  struct http_listener *ready_listener;   /* readiness probes */
+  int caller_fd;                          /* listening socket */
+  int ready_fd;                           /* listening socket */
+  struct loop_timer sweep_timer;          /* next periodic check */
+  bool logged_ready;                      /* readiness when last logged */
 };
 
 static int64_t
-deny_us (const struct cfg_entry *cfg)
+denial_max_age_us (const struct cfg_entry *cfg)
 {
   return cfg->apply_ms * CQ_US_PER_MS - APPLY_MARGIN_US;
 }
@@ -70,15 +74,15 @@
 /* --- readiness ------------------------------------------------------- */
 
 /*
- * A VM that would refuse what it gets must say so, or the balancer sends it
- * a share of the callers.  Not ready: nothing known yet, or knowledge so old
- * that keys count for nothing.
+ * A VM that would refuse requests must report that it is not ready, or the
+ * load balancer sends it a share of the callers.  It is not ready while it has
+ * no configuration, or if its configuration is too old to accept keys.
  */
 bool
 entry_is_ready (const struct entry *e, int64_t now_us)
 {
   struct server *s = e->worker->server;
-  int64_t stale = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
+  int64_t stale = e->cfg->revoke_ms * CQ_US_PER_MS - REVOCATION_MARGIN_US;
 
   return server_phase (s) < PHASE_NOTICE && e->fleet.conf != NULL
          && e->fleet.listed && quarfeed_is_ready (e->quarfeed, now_us)
@@ -86,31 +90,31 @@
 }
 
 static void
-answer_ready (struct req *r, const char *method)
+on_ready_request (struct req *r, const char *method)
 {
   struct entry *e = r->listener->owner;
   int64_t now = loop_now_us ();
   bool ready = entry_is_ready (e, now);
 
   (void)method;
-  if (ready != e->was_ready)
+  if (ready != e->logged_ready)
     log_event (LOG_LEVEL_INFO, "ready",
                "outcome=%s conf_age_us=%" G_GINT64_FORMAT " phase=%d",
                ready ? "yes" : "no", (gint64)fleet_age_us (&e->fleet, now),
                (int)server_phase (r->worker->server));
-  e->was_ready = ready;
+  e->logged_ready = ready;
   req_respond (r, ready ? 200 : 503, NULL, "", 0);
 }
 
 static void
-no_body (struct req *r)
+ignore_body (struct req *r)
 {
   (void)r;
 }
 
 static const struct http_listener_ops ready_ops = {
-  .head = answer_ready,
-  .start = no_body,
+  .head = on_ready_request,
+  .start = ignore_body,
 };
 
 /* --- parts ----------------------------------------------------------- */
@@ -123,10 +127,10 @@
   fleet_sweep (&e->fleet, now_us);
   evac_sweep (&e->fleet, now_us);
   if (orders_held (e->orders))
-    e->duty_us = now_us;
-  if (e->duty_us != 0 && now_us - e->duty_us < FREE_DUTY_US)
-    partfeed_free_outdated (e->feed, &e->fleet, now_us);
-  loop_arm (e->worker->loop, &e->sweep, now_us + SWEEP_US);
+    e->orders_held_us = now_us;
+  if (e->orders_held_us != 0 && now_us - e->orders_held_us < FREE_OUTDATED_US)
+    partfeed_free_outdated (e->partfeed, &e->fleet, now_us);
+  loop_arm (e->worker->loop, &e->sweep_timer, now_us + SWEEP_INTERVAL_US);
 }
 
 static uint64_t
@@ -140,7 +144,7 @@
 }
 
 static void
-on_changed (void *arg, int64_t now_us)
+on_fleet_changed (void *arg, int64_t now_us)
 {
   struct entry *e = arg;
 
@@ -148,14 +152,14 @@
   if (e->era != 0 && follow_era (e->follow) != e->era)
     {
       quarfeed_store_restored (e->quarfeed, now_us);
-      if (e->tell != NULL)
-        tell_older_copy (e->tell, now_us);
+      if (e->load_gossip != NULL)
+        tell_older_copy (e->load_gossip, now_us);
     }
   e->era = follow_era (e->follow);
   if (e->fleet.conf != NULL && e->fleet.conf_row != e->conf_row)
     {
       e->conf_row = e->fleet.conf_row;
-      partfeed_take_conf (e->feed, e->fleet.conf);
+      partfeed_take_conf (e->partfeed, e->fleet.conf);
     }
 }
 
@@ -167,7 +171,7 @@
 
   entry_adapter.orders_ops (e->store, &o.ops);
   o.vm = vm->name;
-  o.gap_us = (e->cfg->order_gap_ms + ORDER_GAP_SPARE_MS) * CQ_US_PER_MS;
+  o.gap_us = (e->cfg->order_gap_ms + ORDER_INTERVAL_MARGIN_MS) * CQ_US_PER_MS;
   o.seed = seed_of (vm);
   e->orders = orders_new (&o);
 }
@@ -177,9 +181,9 @@
 {
   struct follow_opts o = { .loop = e->worker->loop, .fleet = &e->fleet };
 
-  o.changed = on_changed;
+  o.changed = on_fleet_changed;
   o.arg = e;
-  o.current_us = deny_us (e->cfg);
+  o.current_us = denial_max_age_us (e->cfg);
   entry_adapter.follow_ops (e->store, &o.ops);
   o.seed = seed_of (cfg_vm (server_cfg (e->worker->server)));
   e->follow = follow_new (&o);
@@ -187,33 +191,33 @@
 }
 
 static bool
-is_among (void *arg, uint64_t key, int places)
+is_vm_among (void *arg, uint64_t key, int places)
 {
   const struct entry *e = arg;
 
-  return e->tell == NULL || tell_is_among (e->tell, key, places);
+  return e->load_gossip == NULL || tell_is_among (e->load_gossip, key, places);
 }
 
 static void
-make_feed (struct entry *e)
+make_partfeed (struct entry *e)
 {
   struct partfeed_opts o = { .loop = e->worker->loop, .parts = &e->parts };
 
   parts_init (&e->parts);
   entry_adapter.partfeed_ops (&o.ops, e->worker->pool);
-  o.is_among = is_among;
+  o.is_among = is_vm_among;
   o.arg = e;
   o.seed = seed_of (cfg_vm (e->settings));
-  e->feed = partfeed_new (&o);
+  e->partfeed = partfeed_new (&o);
 }
 
 static void
-on_worked (void *arg, int64_t now_us)
+on_work_changed (void *arg, int64_t now_us)
 {
   struct entry *e = arg;
 
-  if (e->tell != NULL)
-    tell_changed (e->tell, now_us);
+  if (e->load_gossip != NULL)
+    tell_changed (e->load_gossip, now_us);
 }
 
 /* --- quarantine ------------------------------------------------------ */
@@ -227,7 +231,7 @@
 }
 
 static void
-on_observed (void *arg, int64_t now_us)
+on_evidence (void *arg, int64_t now_us)
 {
   struct entry *e = arg;
 
@@ -235,7 +239,7 @@
 }
 
 static bool
-is_evidence_known (void *arg, int64_t now_us)
+is_evidence_ready (void *arg, int64_t now_us)
 {
   struct entry *e = arg;
 
@@ -247,8 +251,8 @@
 {
   struct entry *e = arg;
 
-  if (e->tell != NULL)
-    tell_send (e->tell, datagram);
+  if (e->load_gossip != NULL)
+    tell_send (e->load_gossip, datagram);
 }
 
 static bool
@@ -259,16 +263,17 @@
   return quarfeed_receive (e->quarfeed, data, len, now_us);
 }
 
-/* Another VM each time, since the one whose turn it is may be gone. */
+/* The selected VM changes at each interval, since it may have stopped. */
 static bool
-has_suspect_turn (void *arg, const struct reqid *id, int64_t now_us)
+may_run_suspect (void *arg, const struct reqid *id, int64_t now_us)
 {
   const struct entry *e = arg;
-  int64_t turn = platform_ms (arg, now_us) / SUSPECT_TURN_MS;
+  int64_t rotation = platform_ms (arg, now_us) / SUSPECT_ROTATION_MS;
 
-  return e->tell == NULL
+  return e->load_gossip == NULL
          || tell_is_first (
-             e->tell, XXH3_64bits_withSeed (id, sizeof *id, (uint64_t)turn));
+             e->load_gossip,
+             XXH3_64bits_withSeed (id, sizeof *id, (uint64_t)rotation));
 }
 
 static void
@@ -286,21 +291,24 @@
 }
 
 static int
-cold_part_of (void *arg, uint64_t endpoint, int rate)
+cold_share_of (void *arg, uint64_t endpoint, int rate)
 {
   const struct entry *e = arg;
 
-  return e->tell != NULL ? tell_cold_part (e->tell, endpoint, rate) : 0;
+  return e->load_gossip != NULL
+             ? tell_cold_part (e->load_gossip, endpoint, rate)
+             : 0;
 }
 
 static int64_t
-limit_gap_of (void *arg, uint64_t endpoint, int64_t milli, int64_t now_us)
+limit_interval_of (void *arg, uint64_t endpoint, int64_t milli, int64_t now_us)
 {
   const struct entry *e = arg;
 
-  if (e->tell == NULL)
+  if (e->load_gossip == NULL)
     return LIMIT_LOOK_US;
-  return tell_limit_gap (e->tell, endpoint, milli, platform_ms (arg, now_us));
+  return tell_limit_gap (e->load_gossip, endpoint, milli,
+                         platform_ms (arg, now_us));
 }
 
 static void
@@ -311,18 +319,18 @@
 
   entry_adapter.engine_ops (&o.engine, e->worker->pool);
   o.parts = &e->parts;
-  o.loads = e->book;
-  o.worked = on_worked;
+  o.loads = e->loads;
+  o.worked = on_work_changed;
   o.worked_arg = e;
   o.quar = e->quar;
   o.clock_ms = platform_ms;
-  o.observed = on_observed;
-  o.evidence_known = is_evidence_known;
-  o.suspect_turn = has_suspect_turn;
+  o.observed = on_evidence;
+  o.evidence_known = is_evidence_ready;
+  o.suspect_turn = may_run_suspect;
   o.quar_arg = e;
   o.domain = vm->domain;
-  o.stale_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOKE_MARGIN_US;
-  o.deny_us = deny_us (e->cfg);
+  o.stale_us = e->cfg->revoke_ms * CQ_US_PER_MS - REVOCATION_MARGIN_US;
+  o.deny_us = denial_max_age_us (e->cfg);
   o.retry_percent = (int)e->cfg->retry_percent;
   o.retry_burst = (int)e->cfg->retry_burst;
   o.stream_buffer = (size_t)vm->stream_buffer_kb * 1024;
@@ -331,9 +339,9 @@
   e->relays = relays_new (&o);
 }
 
-/* False if there is an address, and it cannot be had. */
+/* Returns false if an address is set but cannot be listened on. */
 static bool
-make_tell (struct entry *e)
+make_load_gossip (struct entry *e)
 {
   const struct cfg_vm *vm = cfg_vm (e->settings);
   struct tell_opts o = { .loop = e->worker->loop, .gather = relays_gather };
@@ -342,40 +350,40 @@
     return true;
   entry_adapter.roster_ops (e->store, &o.ops);
   o.ctx = e->relays;
-  o.book = e->book;
+  o.book = e->loads;
   o.other = receive_evidence;
   o.other_ctx = e;
   o.vm = vm->name;
   o.domain = vm->domain;
   o.listen = e->cfg->tell;
   o.seed = seed_of (vm);
-  e->tell = tell_new (&o);
-  if (e->tell == NULL)
+  e->load_gossip = tell_new (&o);
+  if (e->load_gossip == NULL)
     log_event (LOG_LEVEL_ERROR, "tell_listen", "address=%s outcome=failed",
                e->cfg->tell);
-  return e->tell != NULL;
+  return e->load_gossip != NULL;
 }
 
 static bool
-open_doors (struct entry *e)
+open_listeners (struct entry *e)
 {
   struct server *s = e->worker->server;
   struct http_listener_opts o = { .ops = &ready_ops, .owner = e };
 
-  e->front_fd = server_listen (s, e->cfg->listen);
+  e->caller_fd = server_listen (s, e->cfg->listen);
   e->ready_fd = server_listen (s, e->cfg->ready);
-  if (e->front_fd < 0 || e->ready_fd < 0)
+  if (e->caller_fd < 0 || e->ready_fd < 0)
     return false;
   o.close_from = PHASE_STOPPED;
   o.connections = READY_CONNECTIONS;
   o.idle_timeout_s = READY_IDLE_S;
   o.connection_memory = READY_MEMORY;
-  e->ready = http_listener_open (e->worker, e->ready_fd, &o);
-  e->front_with.relays = e->relays;
-  e->front_with.fleet = &e->fleet;
-  e->front
-      = entry_adapter.open_listener (e->worker, e->front_fd, &e->front_with);
-  return e->ready != NULL && e->front != NULL;
+  e->ready_listener = http_listener_open (e->worker, e->ready_fd, &o);
+  e->listener_ctx.relays = e->relays;
+  e->listener_ctx.fleet = &e->fleet;
+  e->caller_listener = entry_adapter.open_listener (e->worker, e->caller_fd,
+                                                    &e->listener_ctx);
+  return e->ready_listener != NULL && e->caller_listener != NULL;
 }
 
 struct entry *
@@ -390,35 +398,36 @@
   if (!fleet_take_regions (&e->fleet, e->cfg->regions))
     log_event (LOG_LEVEL_ERROR, "regions", "outcome=unreadable text=\"%s\"",
                e->cfg->regions);
-  e->fleet.cold_part = cold_part_of;
-  e->fleet.limit_gap = limit_gap_of;
+  e->fleet.cold_part = cold_share_of;
+  e->fleet.limit_gap = limit_interval_of;
   e->fleet.vms_arg = e;
-  e->fleet.old_max_us = e->cfg->version_ms * CQ_US_PER_MS - VERSION_MARGIN_US;
+  e->fleet.old_max_us
+      = e->cfg->version_ms * CQ_US_PER_MS - OUTDATED_ACCEPT_MARGIN_US;
   e->fleet.factors.unread = (int)e->cfg->weigh_unread;
   e->fleet.factors.memory = (int)e->cfg->weigh_memory;
   e->fleet.factors.parts = (int)e->cfg->weigh_parts;
   e->fleet.old_end_us
-      = e->cfg->version_ms * CQ_US_PER_MS - VERSION_END_MARGIN_US;
-  e->book = load_new ();
+      = e->cfg->version_ms * CQ_US_PER_MS - OUTDATED_START_MARGIN_US;
+  e->loads = load_new ();
   e->quar = quar_new (e->cfg->quarantine_s * CQ_US_PER_S / CQ_US_PER_MS);
-  make_feed (e);
+  make_partfeed (e);
   make_relays (e);
-  if (!open_doors (e))
+  if (!open_listeners (e))
     return NULL;
   e->store = entry_adapter.open (w->pool, e->cfg->store);
   make_orders (e);
   make_quarfeed (e);
-  if (!make_tell (e))
+  if (!make_load_gossip (e))
     return NULL;
   start_following (e);
   quarfeed_start (e->quarfeed, loop_now_us ());
-  e->sweep.fire = on_sweep;
-  e->sweep.arg = e;
-  loop_arm (w->loop, &e->sweep, loop_now_us () + SWEEP_US);
+  e->sweep_timer.fire = on_sweep;
+  e->sweep_timer.arg = e;
+  loop_arm (w->loop, &e->sweep_timer, loop_now_us () + SWEEP_INTERVAL_US);
   return e;
 }
 
-/* --- end ------------------------------------------------------------- */
+/* --- stop ------------------------------------------------------------ */
 
 void
 entry_prepare_stop (struct entry *e)
@@ -431,18 +440,18 @@
 {
   orders_stop (e->orders);
   follow_stop (e->follow);
-  partfeed_stop (e->feed);
+  partfeed_stop (e->partfeed);
   quarfeed_stop (e->quarfeed);
-  if (e->tell != NULL)
-    tell_stop (e->tell);
-  loop_disarm (&e->sweep);
+  if (e->load_gossip != NULL)
+    tell_stop (e->load_gossip);
+  loop_disarm (&e->sweep_timer);
 }
 
 void
 entry_close_listeners (struct entry *e)
 {
-  http_listener_close (e->front);
-  http_listener_close (e->ready);
+  http_listener_close (e->caller_listener);
+  http_listener_close (e->ready_listener);
 }
 
 int
@@ -451,8 +460,9 @@
   if (e == NULL)
     return 0;
   return follow_waiting (e->follow) + orders_waiting (e->orders)
-         + partfeed_waiting (e->feed) + quarfeed_pending_calls (e->quarfeed)
-         + (e->tell != NULL ? tell_waiting (e->tell) : 0);
+         + partfeed_waiting (e->partfeed)
+         + quarfeed_pending_calls (e->quarfeed)
+         + (e->load_gossip != NULL ? tell_waiting (e->load_gossip) : 0);
 }
 
 void
@@ -463,16 +473,16 @@
   follow_free (e->follow);
   quarfeed_free (e->quarfeed);
   orders_free (e->orders);
-  partfeed_free (e->feed);
+  partfeed_free (e->partfeed);
   relays_free (e->relays);
-  if (e->tell != NULL)
-    tell_free (e->tell);
+  if (e->load_gossip != NULL)
+    tell_free (e->load_gossip);
   quar_free (e->quar);
-  load_free (e->book);
+  load_free (e->loads);
   parts_clear (&e->parts);
   fleet_clear (&e->fleet);
   entry_adapter.close (e->store);
-  close (e->front_fd);
+  close (e->caller_fd);
   close (e->ready_fd);
   cfg_free (e->settings);
   g_free (e);
--- a/entry.h
+++ b/entry.h
@@ -1,6 +1,6 @@
 /*
- * The entry: requests that come through a platform's balancer and are passed
- * on to the endpoints that the platform lists.
+ * The entry accepts requests from a platform's load balancer and relays them
+ * to the endpoints that the platform lists.
  */
 #ifndef CQ_ENTRY_H
 #define CQ_ENTRY_H
@@ -13,47 +13,51 @@
 #include "relay.h"
 #include "tell.h"
 
-/* What a door for callers works with; stays until the door is closed. */
+/* Context of the listener for callers; must outlive the listener. */
 struct entry_listener_ctx
 {
-  struct relays *relays; /* where requests go */
-  struct fleet *fleet;   /* for the limits in force */
+  struct relays *relays; /* relays requests to endpoints */
+  struct fleet *fleet;   /* holds the limits in force */
 };
 
-/* What a platform's adapter offers; all on the first worker's thread. */
+/* Functions of a platform's adapter, all called on the first worker's
+   thread. */
 struct entry_adapter
 {
-  /* The platform's store at ADDRESS. */
+  /* Open the platform's store at ADDRESS, to be closed with close. */
   void *(*open) (struct xfer_pool *pool, const char *address);
   void (*close) (void *store);
+  /* Fill OPS with the adapter's functions for each module. */
   void (*follow_ops) (void *store, struct follow_ops *ops);
   void (*orders_ops) (void *store, struct orders_ops *ops);
   void (*roster_ops) (void *store, struct roster_ops *ops);
   void (*quar_ops) (void *store, struct quar_ops *ops);
   void (*partfeed_ops) (struct partfeed_ops *ops, struct xfer_pool *pool);
   void (*engine_ops) (struct relay_engine *ops, struct xfer_pool *pool);
-  /* The door for callers. */
+  /* Open the listener for callers; returns NULL on failure. */
   struct http_listener *(*open_listener) (struct worker *w, int listen_fd,
-                                          struct entry_listener_ctx *front);
+                                          struct entry_listener_ctx *ctx);
 };
 
-/* The adapter that is built in. */
+/* The adapter of this build. */
 extern const struct entry_adapter entry_adapter;
 
 struct entry;
 
-/* Start on W's loop; NULL if an address cannot be had. */
+/* Start on W's loop; returns NULL if an address cannot be listened on. */
 struct entry *entry_new (struct worker *w);
-/* On W's thread: the VM is to stop, so others should do its duties. */
+/* On W's thread: stop to give orders because the VM is about to stop, so that
+   another VM takes over. */
 void entry_prepare_stop (struct entry *e);
-/* On W's thread: ask the platform nothing more. */
+/* On W's thread: start no more calls to the platform. */
 void entry_stop (struct entry *e);
-/* On W's thread, at its end. */
+/* On W's thread, at the end of the thread. */
 void entry_close_listeners (struct entry *e);
 void entry_free (struct entry *e);
-/* Calls to the platform under way, whose answers nobody needs at a stop. */
+/* Number of calls to the platform without a reply yet, which a stop need not
+   wait for. */
 int entry_pending_calls (const struct entry *e);
-/* Whether requests with a key can be served now. */
+/* Whether the VM can serve requests that need an API key. */
 bool entry_is_ready (const struct entry *e, int64_t now_us);
 
 #endif
--- a/httpserver.c
+++ b/httpserver.c
@@ -1,10 +1,10 @@
 /*
- * HTTP requests that come in, through libmicrohttpd.
+ * HTTP server for callers' requests, based on libmicrohttpd.
  *
- * A door is one listening address on one worker: a daemon driven by the
- * worker's loop, so that a caller's connection and the transfers that serve
- * it live on one thread and pass bytes without a lock.  What the requests
- * mean is the business of the door's callbacks.
+ * A listener is one listening address on one worker.  The worker's loop drives
+ * its daemon, so a caller's connection and the transfers that serve it run on
+ * the same thread and pass bytes without a lock.  The listener's callbacks
+ * interpret the requests.
  */
 #include "libserver.h"
 
@@ -14,8 +14,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define OVERSIZE_FACTOR 4 /* bodies this much too large are cut off */
-#define STREAM_BLOCK 4096 /* bytes asked of a stream at once */
+#define OVERSIZE_FACTOR 4 /* disconnect at this multiple of the limit */
+#define STREAM_BLOCK 4096 /* bytes read from a stream at once */
 
 /* --- replies --------------------------------------------------------- */
 
@@ -28,7 +28,8 @@
   MHD_resume_connection (r->conn);
 }
 
-/* Add "Name: value" lines to the reply; NULL ends them. */
+/* Add "Name: value" lines to the reply.  LINES ends with NULL, and may be
+   NULL. */
 static void
 add_lines (struct MHD_Response *response, const char *const *lines)
 {
@@ -48,7 +49,8 @@
     }
 }
 
-/* Connections that stay open through a stop would end in a reset. */
+/* A connection that is still open when the VM stops is reset, so tell the
+   client to close it. */
 static void
 close_when_stopping (struct req *r)
 {
@@ -56,7 +58,7 @@
     MHD_add_response_header (r->response, "Connection", "close");
 }
 
-/* Answer with a whole body, which is copied. */
+/* Reply with a complete body, which is copied. */
 void
 req_respond (struct req *r, int status, const char *const *lines,
              const char *body, size_t len)
@@ -78,7 +80,7 @@
 }
 
 static ssize_t
-take_out (struct req *r, char *to, size_t max)
+read_pending (struct req *r, char *to, size_t max)
 {
   size_t n = req_stream_pending (r);
 
@@ -104,12 +106,12 @@
   (void)pos;
   if (req_stream_pending (r) > 0)
     {
-      n = take_out (r, to, max);
+      n = read_pending (r, to, max);
       if (r->listener->ops->drained != NULL)
         r->listener->ops->drained (r);
       return n;
     }
-  /* Ending without the last chunk shows the break to any HTTP client. */
+  /* Without the last chunk, every HTTP client detects the broken stream. */
   if (r->out_aborted)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (r->out_ended)
@@ -119,7 +121,7 @@
   return 0;
 }
 
-/* Start an answer whose body comes in pieces. */
+/* Start a reply whose body is streamed with req_stream_write. */
 void
 req_stream_open (struct req *r, int status, const char *const *lines)
 {
@@ -139,25 +141,26 @@
   resume (r);
 }
 
-/* End the stream; without WHOLE it ends in a way that no reader takes for a
-   finished one.  FOOTERS may be NULL. */
+/* End the stream.  If COMPLETE, with the trailer NAME: VALUE unless NAME is
+   NULL; otherwise in a way that no client takes for a complete one. */
 void
-req_stream_close (struct req *r, bool whole, const char *name,
+req_stream_close (struct req *r, bool complete, const char *name,
                   const char *value)
 {
-  if (whole && name != NULL)
+  if (complete && name != NULL)
     MHD_add_response_footer (r->response, name, value);
-  r->out_ended = whole;
-  r->out_aborted = !whole;
+  r->out_ended = complete;
+  r->out_aborted = !complete;
   resume (r);
 }
 
-/* --- callers that go away -------------------------------------------- */
+/* --- disconnected callers -------------------------------------------- */
 
 /*
- * A suspended connection is not watched by the daemon, so a caller that hangs
- * up while it waits would keep its place at an endpoint.  Peeking at the
- * socket finds the close without taking bytes from the daemon.
+ * Whether the caller closed its connection.  The daemon does not watch a
+ * suspended connection, so the request of a caller that disconnects would
+ * continue to occupy a slot of an endpoint.  Peeking at the socket detects the
+ * close without consuming bytes that the daemon has to read.
  */
 bool
 req_caller_disconnected (struct req *r)
@@ -173,7 +176,7 @@
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-/* Let the daemon close the connection of a caller that went away. */
+/* Let the daemon close the connection of a disconnected caller. */
 void
 req_close_disconnected (struct req *r)
 {
@@ -185,7 +188,7 @@
 /* --- requests -------------------------------------------------------- */
 
 static void
-make_id (char *id)
+generate_id (char *id)
 {
   uint8_t random[8];
 
@@ -201,20 +204,20 @@
 }
 
 static struct req *
-req_new (struct http_listener *d, struct MHD_Connection *conn,
+req_new (struct http_listener *l, struct MHD_Connection *conn,
          const char *target)
 {
   struct req *r = g_new0 (struct req, 1);
 
-  r->listener = d;
-  r->worker = d->worker;
+  r->listener = l;
+  r->worker = l->worker;
   r->conn = conn;
   r->target = g_strdup (target);
   r->workspace = -1;
   r->operator_index = -1;
   r->body = g_string_new (NULL);
   r->out = g_string_new (NULL);
-  make_id (r->id);
+  generate_id (r->id);
   return r;
 }
 
@@ -237,7 +240,7 @@
 }
 
 static void
-drop_body (struct req *r)
+free_body (struct req *r)
 {
   req_free_body (r->worker->server, req_take_body (r));
 }
@@ -249,7 +252,7 @@
     r->listener->ops->closed (r);
   if (r->response != NULL)
     MHD_destroy_response (r->response);
-  drop_body (r);
+  free_body (r);
   met_add (MET_STREAM_BYTES, -(int64_t)req_stream_pending (r));
   g_string_free (r->out, TRUE);
   g_free (r->path);
@@ -257,16 +260,16 @@
   g_free (r);
 }
 
-/* Bodies of all callers together stay within a bound, whatever they send. */
+/* The total size of all request bodies is limited, whatever callers send. */
 static bool
-body_memory_left (struct server *s)
+has_body_memory (struct server *s)
 {
   return __atomic_load_n (&s->body_bytes, __ATOMIC_RELAXED)
          < __atomic_load_n (&s->body_bytes_max, __ATOMIC_RELAXED);
 }
 
 static enum MHD_Result
-take_upload (struct req *r, const char *data, size_t *len)
+append_body (struct req *r, const char *data, size_t *len)
 {
   struct server *s = r->worker->server;
   size_t n = *len;
@@ -280,7 +283,7 @@
       r->dropped += n;
       return r->dropped < OVERSIZE_FACTOR * r->body_max ? MHD_YES : MHD_NO;
     }
-  if (!body_memory_left (s))
+  if (!has_body_memory (s))
     {
       r->excess = EXCESS_MEMORY;
       return MHD_YES;
@@ -296,8 +299,8 @@
   r->started = true;
   r->arrived_us = loop_now_us ();
   r->listener->ops->start (r);
-  /* Who wants the body for longer has taken it. */
-  drop_body (r);
+  /* A callback that needs the body for longer has taken it. */
+  free_body (r);
 }
 
 static enum MHD_Result
@@ -310,7 +313,7 @@
   return done;
 }
 
-/* Lengths as the head states them. */
+/* Headers that determine the length of the body. */
 struct framing
 {
   int lengths;      /* Content-Length lines */
@@ -319,8 +322,8 @@
 };
 
 static enum MHD_Result
-look_at_framing (void *arg, enum MHD_ValueKind kind, const char *name,
-                 const char *value)
+count_framing_headers (void *arg, enum MHD_ValueKind kind, const char *name,
+                       const char *value)
 {
   struct framing *f = arg;
 
@@ -336,21 +339,22 @@
 }
 
 /*
- * Two statements of a length let a caller hide a second request in a body:
- * what is a body to one reader is a request to the next.  Such a request is
- * answered 400 and its connection is closed, so nothing behind it is read.
+ * Two headers that state the length allow request smuggling: one server reads
+ * a body where the next one reads a second request.  Such a request is refused
+ * with status 400 and its connection is closed, so nothing after it is read.
  */
 static bool
-framing_is_clear (struct req *r)
+is_framing_unambiguous (struct req *r)
 {
   struct framing f = { 0 };
 
-  MHD_get_connection_values (r->conn, MHD_HEADER_KIND, look_at_framing, &f);
+  MHD_get_connection_values (r->conn, MHD_HEADER_KIND, count_framing_headers,
+                             &f);
   return f.lengths + f.encodings <= 1 && !f.unsupported;
 }
 
 static enum MHD_Result
-refuse_framing (struct req *r)
+refuse_ambiguous_length (struct req *r)
 {
   static const char *const close_line[] = { "Connection: close", NULL };
 
@@ -365,8 +369,8 @@
 {
   r->head_seen = true;
   r->path = g_strdup (url);
-  if (!framing_is_clear (r))
-    return refuse_framing (r);
+  if (!is_framing_unambiguous (r))
+    return refuse_ambiguous_length (r);
   r->listener->ops->head (r, method);
   return r->response != NULL ? queue_response (r) : MHD_YES;
 }
@@ -383,7 +387,7 @@
   if (!r->head_seen)
     return on_head (r, url, method);
   if (*len > 0)
-    return take_upload (r, data, len);
+    return append_body (r, data, len);
   if (r->is_disconnected)
     return MHD_NO;
   if (!r->started && r->response == NULL)
@@ -395,8 +399,8 @@
   return MHD_YES;
 }
 
-/* Called first, with the target as it was sent: the path that later calls get
-   is decoded, which cannot be undone. */
+/* Called first, with the target as it was sent.  Later calls only get the
+   decoded path, from which the original cannot be restored. */
 static void *
 on_target (void *arg, const char *target, struct MHD_Connection *conn)
 {
@@ -425,22 +429,23 @@
   met_add (MET_CONNECTIONS, code == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
 }
 
-/* Close the caller's connection once it has been idle for IDLE_S. */
+/* Close the caller's connection after IDLE_S seconds without a byte. */
 void
 req_set_idle_timeout (struct req *r, unsigned idle_s)
 {
   MHD_set_connection_option (r->conn, MHD_CONNECTION_OPTION_TIMEOUT, idle_s);
 }
 
+/* A callback for each header line. */
 struct header_call
 {
-  req_header_fn fn; /* whom to show each line */
+  req_header_fn fn; /* called for each line */
   void *arg;        /* passed to it */
 };
 
 static enum MHD_Result
-show_header (void *arg, enum MHD_ValueKind kind, const char *name,
-             const char *value)
+call_header_fn (void *arg, enum MHD_ValueKind kind, const char *name,
+                const char *value)
 {
   struct header_call *c = arg;
 
@@ -454,15 +459,15 @@
 {
   struct header_call c = { fn, arg };
 
-  MHD_get_connection_values (r->conn, MHD_HEADER_KIND, show_header, &c);
+  MHD_get_connection_values (r->conn, MHD_HEADER_KIND, call_header_fn, &c);
 }
 
-/* --- doors ----------------------------------------------------------- */
+/* --- listeners ------------------------------------------------------- */
 
 static void
 on_daemon_ready (void *arg, int fd, bool readable, bool writable)
 {
-  /* The turn's hook runs the daemon. */
+  /* The loop's hook runs the daemon at each turn. */
   (void)arg;
   (void)fd;
   (void)readable;
@@ -472,79 +477,80 @@
 static void
 run_daemon (void *arg)
 {
-  struct http_listener *d = arg;
+  struct http_listener *l = arg;
 
-  MHD_run (d->daemon);
+  MHD_run (l->daemon);
 }
 
 static int64_t
 daemon_timeout_us (void *arg)
 {
-  struct http_listener *d = arg;
+  struct http_listener *l = arg;
   MHD_UNSIGNED_LONG_LONG ms;
 
-  if (MHD_get_timeout (d->daemon, &ms) != MHD_YES)
+  if (MHD_get_timeout (l->daemon, &ms) != MHD_YES)
     return -1;
   return (int64_t)ms * 1000;
 }
 
-/* Open a door on W's loop; LISTEN_FD stays the caller's. */
+/* Open a listener on W's loop; returns NULL on failure.  The caller keeps
+   ownership of LISTEN_FD. */
 struct http_listener *
 http_listener_open (struct worker *w, int listen_fd,
                     const struct http_listener_opts *o)
 {
-  struct http_listener *d = g_new0 (struct http_listener, 1);
+  struct http_listener *l = g_new0 (struct http_listener, 1);
   const union MHD_DaemonInfo *info;
 
-  d->worker = w;
-  d->ops = o->ops;
-  d->owner = o->owner;
-  d->close_from = o->close_from;
-  d->daemon = MHD_start_daemon (
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, d,
+  l->worker = w;
+  l->ops = o->ops;
+  l->owner = o->owner;
+  l->close_from = o->close_from;
+  l->daemon = MHD_start_daemon (
+      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, l,
       MHD_OPTION_LISTEN_SOCKET, dup (listen_fd), MHD_OPTION_NOTIFY_COMPLETED,
       on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, NULL,
-      MHD_OPTION_URI_LOG_CALLBACK, on_target, d, MHD_OPTION_CONNECTION_LIMIT,
+      MHD_OPTION_URI_LOG_CALLBACK, on_target, l, MHD_OPTION_CONNECTION_LIMIT,
       o->connections, MHD_OPTION_CONNECTION_TIMEOUT, o->idle_timeout_s,
       MHD_OPTION_CONNECTION_MEMORY_LIMIT, o->connection_memory,
       MHD_OPTION_CONNECTION_MEMORY_INCREMENT, (size_t)1024,
       MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
-  if (d->daemon == NULL)
+  if (l->daemon == NULL)
     {
-      g_free (d);
+      g_free (l);
       return NULL;
     }
-  info = MHD_get_daemon_info (d->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-  d->fd = loop_add_fd (w->loop, info->epoll_fd, on_daemon_ready, d);
-  loop_watch (w->loop, d->fd, true, false);
-  d->hook.turn = run_daemon;
-  d->hook.timeout_us = daemon_timeout_us;
-  d->hook.arg = d;
-  loop_add_hook (w->loop, &d->hook);
-  return d;
+  info = MHD_get_daemon_info (l->daemon, MHD_DAEMON_INFO_EPOLL_FD);
+  l->fd = loop_add_fd (w->loop, info->epoll_fd, on_daemon_ready, l);
+  loop_watch (w->loop, l->fd, true, false);
+  l->hook.turn = run_daemon;
+  l->hook.timeout_us = daemon_timeout_us;
+  l->hook.arg = l;
+  loop_add_hook (w->loop, &l->hook);
+  return l;
 }
 
-/* Accept no more connections; those that stand go on. */
+/* Accept no more connections; open ones continue. */
 void
-http_listener_quiesce (struct http_listener *d)
+http_listener_quiesce (struct http_listener *l)
 {
   MHD_socket fd;
 
-  if (d == NULL || d->quiesced)
+  if (l == NULL || l->quiesced)
     return;
-  d->quiesced = true;
-  fd = MHD_quiesce_daemon (d->daemon);
+  l->quiesced = true;
+  fd = MHD_quiesce_daemon (l->daemon);
   if (fd != MHD_INVALID_SOCKET)
     close (fd);
 }
 
 void
-http_listener_close (struct http_listener *d)
+http_listener_close (struct http_listener *l)
 {
-  if (d == NULL)
+  if (l == NULL)
     return;
-  loop_remove_hook (&d->hook);
-  loop_remove_fd (d->worker->loop, d->fd);
-  MHD_stop_daemon (d->daemon);
-  g_free (d);
+  loop_remove_hook (&l->hook);
+  loop_remove_fd (l->worker->loop, l->fd);
+  MHD_stop_daemon (l->daemon);
+  g_free (l);
 }
--- a/refusal.c
+++ b/refusal.c
@@ -1,9 +1,9 @@
-/* Codes that a reply may carry, with their status and sentence. */
+/* Error codes of replies, with their HTTP status and message. */
 #include "libserver.h"
 
 #include <string.h>
 
-#define RETRY_MAX_S 3600 /* longest Retry-After */
+#define RETRY_AFTER_MAX_S 3600 /* longest Retry-After in seconds */
 
 static const struct refusal refusals[] = {
   { "bad_json", 400, "The body is not a JSON object in UTF-8." },
@@ -57,9 +57,10 @@
   { "caller_gone", 499, "The caller went away." },
 };
 
-static const struct refusal unlisted
+static const struct refusal unknown_code
     = { "internal", 500, "The request failed." };
 
+/* Find the entry of CODE; an unknown code gets status 500. */
 const struct refusal *
 refusal_find (const char *code)
 {
@@ -68,13 +69,14 @@
   for (i = 0; i < G_N_ELEMENTS (refusals); i++)
     if (strcmp (refusals[i].code, code) == 0)
       return &refusals[i];
-  return &unlisted;
+  return &unknown_code;
 }
 
+/* US as seconds for Retry-After, rounded up, at most RETRY_AFTER_MAX_S. */
 int
 refusal_retry_after_s (int64_t us)
 {
   int64_t s = (us + CQ_US_PER_S - 1) / CQ_US_PER_S;
 
-  return (int)(s < RETRY_MAX_S ? s : RETRY_MAX_S);
+  return (int)(s < RETRY_AFTER_MAX_S ? s : RETRY_AFTER_MAX_S);
 }
--- a/reply.c
+++ b/reply.c
@@ -1,10 +1,10 @@
-/* Replies of the product's own interface. */
+/* Replies of the product's own API. */
 #include "libserver.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_LINES 8 /* header lines of a reply */
+#define REPLY_LINES_MAX 8 /* header lines of a reply, and the final NULL */
 
 void
 req_reply (struct req *r, const struct reply *reply)
@@ -14,7 +14,7 @@
   g_autofree char *id = g_strconcat ("Camphorquay-Request-Id: ", r->id, NULL);
   g_autofree char *outcome = NULL;
   g_autofree char *retry = NULL;
-  const char *lines[MAX_LINES] = { type, id };
+  const char *lines[REPLY_LINES_MAX] = { type, id };
   int n = 2;
 
   if (reply->outcome != NULL)
@@ -44,7 +44,7 @@
   json_decref (doc);
 }
 
-/* Refuse before any work: nothing was run. */
+/* Refuse a request before anything was run for it. */
 void
 req_refuse (struct req *r, const char *code, int64_t retry_after_us)
 {
@@ -66,8 +66,8 @@
 }
 
 /*
- * Start the reply of a stream.  Its outcome is not known yet; it comes in the
- * trailer at the end, or in the error event of a broken stream.
+ * Start a streamed reply.  Its outcome is not known yet: the trailer at the
+ * end carries it, or the error event of a stream that breaks.
  */
 void
 req_stream_begin (struct req *r, const char *content_type)
@@ -81,7 +81,8 @@
 }
 
 void
-req_stream_end (struct req *r, bool whole)
+req_stream_end (struct req *r, bool complete)
 {
-  req_stream_close (r, whole, "Camphorquay-Outcome", out_name (OUT_ANSWERED));
+  req_stream_close (r, complete, "Camphorquay-Outcome",
+                    out_name (OUT_ANSWERED));
 }
--- a/state.c
+++ b/state.c
@@ -1,4 +1,5 @@
-/* What all threads read of a VM: the settings in force, and its phase. */
+/* State of a VM that all its threads read: the settings in force and the
+   phase. */
 #include "libserver.h"
 
 struct cfg *
