--- a/regress/badinput.sh
+++ b/regress/badinput.sh
@@ -1,5 +1,6 @@
-# Callers send what they should not: every time a clear refusal that says
-# "not-run" or a closed connection, bounded memory, and the VM goes on serving.
+# Invalid input from callers: each request gets a refusal with the outcome
+# "not-run" or a closed connection, memory stays bounded, and the VM continues to
+# serve.
 . ./lib.sh || exit 1
 usual_base e1
 make_key other
@@ -14,11 +15,11 @@
 path=/v1/completions
 try() { echo "$1: $(post a ws "$path" "$2") $(outcome) $(code)"; }
 try "not JSON" 'hello'
-try "half JSON" '{"model":"model","prompt":'
+try "truncated JSON" '{"model":"model","prompt":'
 try "bad UTF-8" "$(printf '{"model":"model","prompt":"\377\376"}')"
 try "no prompt" '{"model":"model"}'
 try "wrong kind" '{"model":"model","prompt":"x","max_tokens":"many"}'
-try "twice" '{"model":"model","model":"model","prompt":"x"}'
+try "duplicate key" '{"model":"model","model":"model","prompt":"x"}'
 try "deep nesting" "$(printf '[%.0s' $(seq 5000))"
 try "unknown service" '{"model":"nothing","prompt":"x"}'
 path=/v1/nothing try "unknown path" '{}'
@@ -45,23 +46,23 @@
 exec 3>&-
 exec 4<>"/dev/tcp/${vm_a%:*}/${vm_a#*:}"
 printf 'POST /v1/comp' >&4
-timeout 20 cat <&4 >/dev/null && echo "half a request: closed"
+timeout 20 cat <&4 >/dev/null && echo "incomplete request: closed"
 head -c 100000 /dev/urandom >"$tmp/noise"
 exec 5<>"/dev/tcp/${vm_a%:*}/${vm_a#*:}"
 cat "$tmp/noise" >&5 2>/dev/null
 exec 5>&-
 
-# Another workspace's request id answers as one that does not exist.
+# The request id of another workspace gets the same reply as an unknown one.
 post a ws /v1/completions "$(prompt x 1 true)" >/dev/null
 id=$(header Camphorquay-Request-Id)
 echo "own request: $(get a ws "/v1/requests/$id") $(sed -n 's/.*"outcome": "\([a-z]*\)".*/\1/p' "$tmp/body")"
 echo "another's request: $(get a other "/v1/requests/$id") $(code)"
 sed 's/r[0-9a-f]*//' "$tmp/body" >"$tmp/theirs"
 get a other /v1/requests/r0000000000000000 >/dev/null
-sed 's/r[0-9a-f]*//' "$tmp/body" | cmp - "$tmp/theirs" && echo "same words as for none"
+sed 's/r[0-9a-f]*//' "$tmp/body" | cmp - "$tmp/theirs" && echo "same reply as for an unknown id"
 echo "operator's path with a caller's key: $(get a ws /admin/v1/status) $(code)"
 
-# Nothing that was sent stands in the log.
+# Prompts and keys must not appear in the log.
 post a ws /v1/completions "$(prompt 'very private words' 1 true)" -H 'Idempotency-Key: secret-key-of-caller' >/dev/null
 grep -c -e 'private' -e 'secret-key' -e "${key_ws#ws.}" "$tmp/a.log"
 echo "still serving: $(post a ws /v1/completions "$(prompt x 3 true)") $(finished)"
--- a/regress/refusal.sh
+++ b/regress/refusal.sh
@@ -1,6 +1,6 @@
-# An endpoint refuses calls before running them, by a status that the operator
-# declared.  The refusal is passed on as not-run, and for a service with two
-# endpoints the other one gets the call although the service may not repeat.
+# An endpoint refuses calls before it runs them, with a status that the operator
+# declared.  The caller gets the outcome not-run.  If the service has a second
+# endpoint, the call is sent there, although the service is not idempotent.
 . ./lib.sh || exit 1
 plain_base 'refusal_status = 503' 'attempts = 2'
 start_vm a
@@ -20,4 +20,4 @@
 control p1 '{"refuse":503,"fail":200}'
 start_vm b
 for i in 1 2 3 4 5 6; do post b ws /v1/call/trucks/send "call$i"; outcome; done | sort | uniq -c | sed 's/^ *//'
-echo "runs at the other: $(for i in 1 2 3 4 5 6; do stat p2 call$i; done | paste -sd' ')"
+echo "runs at the other endpoint: $(for i in 1 2 3 4 5 6; do stat p2 call$i; done | paste -sd' ')"
