--- a/quarfeed.c
+++ b/quarfeed.c
@@ -350,7 +350,7 @@
   if (f->stopped)
     return;
   /* This VM's own row may have been lost with the history. */
-  if (rows->status == QUAR_ROWS_HISTORY_EXPIRED)
+  if (rows->status == QUAR_ROWS_HISTORY_LOST)
     {
       f->needs_full_read = true;
       f->is_dirty = true;
--- a/quarfeed.h
+++ b/quarfeed.h
@@ -25,10 +25,10 @@
 enum quar_rows_status
 {
   QUAR_ROWS_OK,
-  QUAR_ROWS_HISTORY_EXPIRED, /* the table no longer has the changes since
+  QUAR_ROWS_HISTORY_LOST, /* the table no longer has the changes since
                                 that version; read all rows */
-  QUAR_ROWS_CONFLICT,        /* a row does not have the expected version */
-  QUAR_ROWS_FAILED           /* refused, or no reply */
+  QUAR_ROWS_CONFLICT,     /* a row does not have the expected version */
+  QUAR_ROWS_FAILED        /* refused, or no reply */
 };
 
 /* Reply of the table; valid during the callback only. */
@@ -41,8 +41,9 @@
 
 typedef void (*quar_rows_done) (void *arg, const struct quar_rows_reply *rows);
 
-#define QUAR_ANY_VERSION INT64_C (-1) /* write whatever version the row has   \
-                                       */
+#define QUAR_ANY_VERSION                                                      \
+  INT64_C (-1) /* write whatever version the row has                          \
+                */
 
 /* Access to the table, implemented by an adapter.  Each call invokes DONE
    exactly once. */
