--- a/libserver.h
+++ b/libserver.h
@@ -159,7 +159,7 @@
 /* A wait in whole seconds, for Retry-After; rounded up. */
 int refusal_retry_after_s (int64_t us);
 
-/* --- requests that come in (httpserver.c) ----------------------------------- */
+/* --- requests that come in (httpserver.c) ------------------------------ */
 
 struct http_listener;
 
--- a/quarfeed.c
+++ b/quarfeed.c
@@ -67,7 +67,7 @@
   bool writing_key;                /* a key is being written */
   bool needs_full_read;            /* the next poll reads all rows */
   bool is_full_read;               /* the poll under way reads all rows */
-  bool is_key_stored;              /* the latest read returned the key */
+  bool is_key_stored;              /* the table is known to contain the key */
   bool is_dirty;                   /* the row must be written again */
   guint written_facts;             /* facts in the row when last written */
   bool stopped;                    /* quarfeed_stop was called */
@@ -115,9 +115,8 @@
 
 /* --- datagrams ------------------------------------------------------- */
 
-/* Send this VM's facts, and all facts about the requests with the most
-   crashes, so that a VM that missed a datagram gets its facts from any other
-   VM. */
+/* Send all facts about the requests with the most crashes, and this VM's own,
+   so that a VM that missed a datagram gets its facts from any other VM. */
 static void
 send_facts (struct quarfeed *f)
 {
--- a/quarfeed.h
+++ b/quarfeed.h
@@ -88,11 +88,11 @@
    evidence. */
 bool quarfeed_receive (struct quarfeed *f, const char *data, size_t len,
                        int64_t now_us);
-/* Whether the table was read, or enough time was spent on trying. */
+/* Whether the table was read, or requests are to be served without it because
+   the start was more than 1 s ago. */
 bool quarfeed_is_ready (const struct quarfeed *f, int64_t now_us);
 /* Send no more calls and datagrams. */
 void quarfeed_stop (struct quarfeed *f);
-/* To be called once no call is pending. */
 void quarfeed_free (struct quarfeed *f);
 /* Number of calls to the platform without a reply yet. */
 int quarfeed_pending_calls (const struct quarfeed *f);
