--- a/quarfeed.h
+++ b/quarfeed.h
@@ -41,9 +41,8 @@
 
 typedef void (*quar_rows_done) (void *arg, const struct quar_rows_reply *rows);
 
-#define QUAR_ANY_VERSION                                                      \
-  INT64_C (-1) /* write whatever version the row has                          \
-                */
+/* Passed as EXPECTED, writes a row whatever its version. */
+#define QUAR_ANY_VERSION INT64_C (-1)
 
 /* Access to the table, implemented by an adapter.  Each call invokes DONE
    exactly once. */
