--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -279,17 +279,17 @@
 }
 
 static void
-check_asked (const GPtrArray *list, const struct pasked *a)
+check_asked (const GPtrArray *list, const struct preqhead *a)
 {
   int64_t tokens = 0;
   guint i;
   int k;
 
-  if (a->lines->len > list->len / 2 + 1
-      || a->lines->pdata[a->lines->len - 1] != NULL)
+  if (a->forwarded->len > list->len / 2 + 1
+      || a->forwarded->pdata[a->forwarded->len - 1] != NULL)
     g_error ("lines without an end, or too many");
-  for (i = 0; i + 1 < a->lines->len; i++)
-    check_line (list, a->lines->pdata[i]);
+  for (i = 0; i + 1 < a->forwarded->len; i++)
+    check_line (list, a->forwarded->pdata[i]);
   if (a->deadline_ms < -1 || a->deadline_ms > INT64_C (86400000))
     g_error ("a deadline that is none");
   if (a->resume_after < -1 || a->nparts < 0 || a->nparts > PARTS_MAX)
@@ -306,15 +306,15 @@
 static void
 fuzz_asked (const GPtrArray *list)
 {
-  struct pasked a;
+  struct preqhead a;
   guint i;
 
-  pasked_init (&a);
+  preqhead_init (&a);
   for (i = 0; i < list->len; i += 2)
-    pasked_take (&a, list->pdata[i], list->pdata[i + 1]);
-  pasked_seal (&a);
+    preqhead_add (&a, list->pdata[i], list->pdata[i + 1]);
+  preqhead_finish (&a);
   check_asked (list, &a);
-  pasked_clear (&a);
+  preqhead_clear (&a);
 }
 
 /* Whether a header of the last head of LIST names a request other than "id".
@@ -340,38 +340,38 @@
 }
 
 static void
-check_answered (const GPtrArray *list, const struct panswered *a, int status)
+check_answered (const GPtrArray *list, const struct preplyhead *a, int status)
 {
   const struct relay_head *h = &a->head;
 
   if (h->status != status || h->version < 0 || h->running < -1)
     g_error ("a number out of its bounds");
-  if (h->genuine && !a->sealed)
+  if (h->genuine && !a->has_seal)
     g_error ("an answer without a seal taken for an endpoint's");
   if (a->id != NULL && (h->genuine || h->not_run) && is_of_another (list))
     g_error ("an answer to another taken for ours");
   if (h->lines[g_strv_length (h->lines)] != NULL
-      || g_strv_length (h->lines) + 1 != a->lines->len)
+      || g_strv_length (h->lines) + 1 != a->forwarded->len)
     g_error ("lines without an end");
 }
 
 static void
 fuzz_answered (const GPtrArray *list, int status)
 {
-  struct panswered a;
+  struct preplyhead a;
   guint i;
 
-  panswered_init (&a, status == 200 ? "id" : NULL, "life");
+  preplyhead_init (&a, status == 200 ? "id" : NULL, "life");
   for (i = 0; i < list->len; i += 2)
     {
       g_autofree char *line = g_strdup_printf (
           "%s: %s\r\n", (char *)list->pdata[i], (char *)list->pdata[i + 1]);
 
-      panswered_take (&a, line, strlen (line));
+      preplyhead_add (&a, line, strlen (line));
     }
-  panswered_seal (&a, status);
+  preplyhead_finish (&a, status);
   check_answered (list, &a, status);
-  panswered_clear (&a);
+  preplyhead_clear (&a);
 }
 
 static void
--- a/regress/test-headers.c
+++ b/regress/test-headers.c
@@ -10,19 +10,19 @@
 
 /* Names and values by turns, up to a NULL. */
 static void
-ask (struct pasked *a, const char *const *list)
+ask (struct preqhead *a, const char *const *list)
 {
-  pasked_init (a);
+  preqhead_init (a);
   for (; *list != NULL; list += 2)
-    pasked_take (a, list[0], list[1]);
-  pasked_seal (a);
+    preqhead_add (a, list[0], list[1]);
+  preqhead_finish (a);
 }
 
 /* Lines that are passed on, joined. */
 static char *
-passed_on (const struct pasked *a)
+passed_on (const struct preqhead *a)
 {
-  return g_strjoinv ("|", (char **)a->lines->pdata);
+  return g_strjoinv ("|", (char **)a->forwarded->pdata);
 }
 
 /* A request as the platform's callers send it. */
@@ -45,7 +45,7 @@
                                       "7",
                                       NULL };
   g_autofree char *lines = NULL;
-  struct pasked a;
+  struct preqhead a;
 
   ask (&a, list);
   lines = passed_on (&a);
@@ -59,7 +59,7 @@
   g_assert_cmpint (a.nparts, ==, 2);
   g_assert_cmpint (a.parts[0].tokens, ==, 800);
   g_assert_false (a.malformed);
-  pasked_clear (&a);
+  preqhead_clear (&a);
 }
 
 /* No caller sets what only the system may set. */
@@ -88,12 +88,12 @@
                                       "y",
                                       NULL };
   g_autofree char *lines = NULL;
-  struct pasked a;
+  struct preqhead a;
 
   ask (&a, list);
   lines = passed_on (&a);
   g_assert_cmpstr (lines, ==, "x-expect: y");
-  pasked_clear (&a);
+  preqhead_clear (&a);
 }
 
 /* Headers of the connection may be named in several lines, and after them. */
@@ -106,13 +106,13 @@
           "X-Empty", "",  "Connection", "close , x-hop-b",
           NULL };
   g_autofree char *lines = NULL;
-  struct pasked a;
+  struct preqhead a;
 
   ask (&a, list);
   lines = passed_on (&a);
   g_assert_cmpstr (lines, ==, "X-Stays: 1|X-Empty: ");
   g_assert_false (a.malformed);
-  pasked_clear (&a);
+  preqhead_clear (&a);
 }
 
 /* A blank before the colon hides a name from us, and not from an endpoint
@@ -131,15 +131,15 @@
     { "X-\xc3\xa4", "1", NULL },
     { "X-B", "1", "X-Hold ", "1", NULL },
   };
-  struct pasked a;
+  struct preqhead a;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (lists); i++)
     {
       ask (&a, lists[i]);
       g_assert_true (a.malformed);
-      g_assert_null (a.lines->pdata[0]);
-      pasked_clear (&a);
+      g_assert_null (a.forwarded->pdata[0]);
+      preqhead_clear (&a);
     }
 }
 
@@ -151,7 +151,7 @@
     "-1", "", "1e9", " 5", "18446744073709551617", "99999999999", "0x5"
   };
   const char *list[] = { "X-Deadline-Ms", NULL, NULL };
-  struct pasked a;
+  struct preqhead a;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (odd); i++)
@@ -159,7 +159,7 @@
       list[1] = odd[i];
       ask (&a, list);
       g_assert_cmpint (a.deadline_ms, ==, -1);
-      pasked_clear (&a);
+      preqhead_clear (&a);
     }
 }
 
@@ -170,7 +170,7 @@
   static const char *const odd[]
       = { "a:5,b:-3,c:1", "a:5,b:9223372036854775807", "a:5,b:", "a:5,b:x" };
   const char *list[] = { "X-Prompt-Prefix", NULL, NULL };
-  struct pasked a;
+  struct preqhead a;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (odd); i++)
@@ -178,17 +178,17 @@
       list[1] = odd[i];
       ask (&a, list);
       g_assert_cmpint (a.nparts, ==, 1);
-      pasked_clear (&a);
+      preqhead_clear (&a);
     }
 }
 
 static void
-answer (struct panswered *a, const char *const *lines, int status)
+answer (struct preplyhead *a, const char *const *lines, int status)
 {
-  panswered_init (a, "id1", "life1");
+  preplyhead_init (a, "id1", "life1");
   for (; *lines != NULL; lines++)
-    panswered_take (a, *lines, strlen (*lines));
-  panswered_seal (a, status);
+    preplyhead_add (a, *lines, strlen (*lines));
+  preplyhead_finish (a, status);
 }
 
 static void
@@ -205,7 +205,7 @@
                                        "X-Instance-Id: life1",
                                        NULL };
   g_autofree char *joined = NULL;
-  struct panswered a;
+  struct preplyhead a;
 
   answer (&a, lines, 200);
   joined = g_strjoinv ("|", a.head.lines);
@@ -217,7 +217,7 @@
   g_assert_cmpint (a.head.running, ==, 1);
   g_assert_cmpint (a.head.waiting, ==, 2);
   g_assert_cmpint (a.head.version, ==, 3);
-  panswered_clear (&a);
+  preplyhead_clear (&a);
 }
 
 /* An answer that names two requests is not surely to this one. */
@@ -227,13 +227,13 @@
   static const char *const lines[]
       = { "X-Server-Seal: s",     "X-Attempt-Id: id2",    "X-Attempt-Id: id1",
           "X-Instance-Id: life2", "X-Instance-Id: life1", NULL };
-  struct panswered a;
+  struct preplyhead a;
 
   answer (&a, lines, 421);
   g_assert_false (a.head.genuine);
   g_assert_false (a.head.not_run);
   g_assert_true (a.head.other_life);
-  panswered_clear (&a);
+  preplyhead_clear (&a);
 }
 
 /* Weights that cannot be are not believed: all that is older would be
@@ -245,7 +245,7 @@
       = { "X-Weight-Versions: -3", "X-Weight-Versions: 9223372036854775808",
           "X-Weight-Versions: x" };
   const char *lines[] = { NULL, NULL };
-  struct panswered a;
+  struct preplyhead a;
   size_t i;
 
   for (i = 0; i < G_N_ELEMENTS (odd); i++)
@@ -253,7 +253,7 @@
       lines[0] = odd[i];
       answer (&a, lines, 200);
       g_assert_cmpint (a.head.version, ==, 0);
-      panswered_clear (&a);
+      preplyhead_clear (&a);
     }
 }
 
@@ -268,18 +268,18 @@
           NULL };
   static const char *const stay[] = { "Server-Leaving: 0", NULL };
   struct notice n = { .leaving = false };
-  struct panswered a;
+  struct preplyhead a;
 
   answer (&a, leave, 503);
   g_assert_true (a.head.notice.leaving);
-  panswered_clear (&a);
+  preplyhead_clear (&a);
   answer (&a, stay, 200);
   g_assert_false (a.head.notice.leaving);
-  panswered_clear (&a);
+  preplyhead_clear (&a);
   answer (&a, twice, 200);
   g_assert_false (a.head.notice.leaving);
-  panswered_clear (&a);
-  pnotice_take_line (&n, "server-leaving:1\r\n", 18);
+  preplyhead_clear (&a);
+  pnotice_add_line (&n, "server-leaving:1\r\n", 18);
   g_assert_true (n.leaving);
 }
 
@@ -307,11 +307,11 @@
   for (i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       const char *lines[] = { cases[i].line, NULL };
-      struct panswered a;
+      struct preplyhead a;
 
       answer (&a, lines, cases[i].status);
       g_assert_cmpint (a.head.notice.rest_us, ==, cases[i].us);
-      panswered_clear (&a);
+      preplyhead_clear (&a);
     }
 }
 
@@ -343,12 +343,12 @@
   for (i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       const char *lines[] = { cases[i].line, NULL };
-      struct panswered a;
+      struct preplyhead a;
 
       answer (&a, lines, 200);
       g_assert_true (a.head.notice.limit_said == cases[i].said);
       g_assert_cmpint (a.head.notice.limit_milli, ==, cases[i].milli);
-      panswered_clear (&a);
+      preplyhead_clear (&a);
     }
 }
 
--- a/regress/test-steps.c
+++ b/regress/test-steps.c
@@ -101,8 +101,8 @@
     steps++;
   if (d == PDECODE_DONE)
     {
-      g_assert_true (prows_more (p));
-      g_assert_cmpstr (prows_last (p), ==, "s1");
+      g_assert_true (prows_has_more (p));
+      g_assert_cmpstr (prows_last_key (p), ==, "s1");
     }
   prows_free (p);
   return d == PDECODE_DONE ? steps : -1;
