--- a/Makefile
+++ b/Makefile
@@ -21,9 +21,9 @@
 	quarwire.o quarfeed.o follow.o \
 	lease.o naming.o orders.o parts.o partfeed.o evac.o
 # The users' platform; translates only.
-PLATFORM = platform/answered.o platform/asked.o platform/decode.o platform/duty.o \
+PLATFORM = platform/replyhead.o platform/reqhead.o platform/decode.o platform/orders.o \
 	platform/engine.o platform/ingress.o platform/json.o platform/kvstore.o platform/notice.o \
-	platform/pieces.o platform/platform.o platform/quarrows.o platform/roster.o platform/rows.o \
+	platform/jsonread.o platform/platform.o platform/quarrows.o platform/roster.o platform/rows.o \
 	platform/store.o
 COMMANDS = main.o ctl.o ctlcall.o ctlconf.o
 
@@ -116,8 +116,8 @@
 		regress/test-units regress/model
 
 # Coverage-guided inputs for all parsers; needs clang.
-FUZZED = prompt.c strm.c peer_xdr.c platform/answered.c platform/asked.c \
-	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/pieces.c \
+FUZZED = prompt.c strm.c peer_xdr.c platform/replyhead.c platform/reqhead.c \
+	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/jsonread.c \
 	platform/rows.c platform/roster.c \
 	platform/quarrows.c quar.c quarwire.c tellword.c fleet.c pace.c limit.c cold.c evt.c lease.c fetch.c xfer.c stall.c loop.c
 regress/fuzz-input: regress/fuzz-input.c $(FUZZED) wire.h
