--- a/regress/test-headers.c
+++ b/regress/test-headers.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of headers as callers and endpoints send them: what is read of
- * them, and what is passed on.
+ * Unit tests of the headers of requests and replies: which values are decoded,
+ * and which headers are forwarded.
  */
 #include <glib.h>
 #include <string.h>
@@ -8,9 +8,9 @@
 #include "platform/platform.h"
 #include "units.h"
 
-/* Names and values by turns, up to a NULL. */
+/* Decodes a request; LIST alternates names and values and ends with NULL. */
 static void
-ask (struct preqhead *a, const char *const *list)
+decode_request (struct preqhead *a, const char *const *list)
 {
   preqhead_init (a);
   for (; *list != NULL; list += 2)
@@ -18,16 +18,16 @@
   preqhead_finish (a);
 }
 
-/* Lines that are passed on, joined. */
+/* The forwarded headers, joined. */
 static char *
-passed_on (const struct preqhead *a)
+forwarded (const struct preqhead *a)
 {
   return g_strjoinv ("|", (char **)a->forwarded->pdata);
 }
 
-/* A request as the platform's callers send it. */
+/* Guards against losing what the platform's callers usually send. */
 static void
-test_usual (void)
+test_request (void)
 {
   static const char *const list[] = { "Host",
                                       "h.example",
@@ -47,8 +47,8 @@
   g_autofree char *lines = NULL;
   struct preqhead a;
 
-  ask (&a, list);
-  lines = passed_on (&a);
+  decode_request (&a, list);
+  lines = forwarded (&a);
   g_assert_cmpstr (
       lines, ==, "X-Attempt-Id: 9c41|X-Model: m|X-Prompt-Prefix: 5c:800,9:1");
   g_assert_cmpstr (a.host, ==, "h.example");
@@ -62,9 +62,9 @@
   preqhead_clear (&a);
 }
 
-/* No caller sets what only the system may set. */
+/* Guards against callers that set headers which only the system may set. */
 static void
-test_not_the_callers (void)
+test_reserved (void)
 {
   static const char *const list[] = { "x-tenant",
                                       "t",
@@ -90,13 +90,14 @@
   g_autofree char *lines = NULL;
   struct preqhead a;
 
-  ask (&a, list);
-  lines = passed_on (&a);
+  decode_request (&a, list);
+  lines = forwarded (&a);
   g_assert_cmpstr (lines, ==, "x-expect: y");
   preqhead_clear (&a);
 }
 
-/* Headers of the connection may be named in several lines, and after them. */
+/* Guards against forwarding a header of the connection: several Connection
+   headers may name it, also after it was sent. */
 static void
 test_connection (void)
 {
@@ -108,17 +109,18 @@
   g_autofree char *lines = NULL;
   struct preqhead a;
 
-  ask (&a, list);
-  lines = passed_on (&a);
+  decode_request (&a, list);
+  lines = forwarded (&a);
   g_assert_cmpstr (lines, ==, "X-Stays: 1|X-Empty: ");
   g_assert_false (a.malformed);
   preqhead_clear (&a);
 }
 
-/* A blank before the colon hides a name from us, and not from an endpoint
-   that strips it; a line break in a value makes two headers of one. */
+/* Guards against headers that an endpoint parses differently: an endpoint that
+   strips a blank before the colon reads another name, and a line break in a
+   value turns one header into two. */
 static void
-test_disguised (void)
+test_ambiguous (void)
 {
   static const char *const lists[][5] = {
     { "X-Hold ", "1", NULL },
@@ -136,63 +138,64 @@
 
   for (i = 0; i < G_N_ELEMENTS (lists); i++)
     {
-      ask (&a, lists[i]);
+      decode_request (&a, lists[i]);
       g_assert_true (a.malformed);
       g_assert_null (a.forwarded->pdata[0]);
       preqhead_clear (&a);
     }
 }
 
-/* Deadlines that are none count as unsaid. */
+/* Guards against invalid deadlines: they count as missing. */
 static void
-test_odd_deadlines (void)
+test_invalid_deadlines (void)
 {
-  static const char *const odd[] = {
+  static const char *const invalid[] = {
     "-1", "", "1e9", " 5", "18446744073709551617", "99999999999", "0x5"
   };
   const char *list[] = { "X-Deadline-Ms", NULL, NULL };
   struct preqhead a;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (odd); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
-      list[1] = odd[i];
-      ask (&a, list);
+      list[1] = invalid[i];
+      decode_request (&a, list);
       g_assert_cmpint (a.deadline_ms, ==, -1);
       preqhead_clear (&a);
     }
 }
 
-/* Tokens are added up later: none may be negative, nor any sum of them. */
+/* Guards against negative token counts and sums of them that overflow: the
+   counts of a prompt are added up. */
 static void
-test_odd_parts (void)
+test_invalid_parts (void)
 {
-  static const char *const odd[]
+  static const char *const invalid[]
       = { "a:5,b:-3,c:1", "a:5,b:9223372036854775807", "a:5,b:", "a:5,b:x" };
   const char *list[] = { "X-Prompt-Prefix", NULL, NULL };
   struct preqhead a;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (odd); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
-      list[1] = odd[i];
-      ask (&a, list);
+      list[1] = invalid[i];
+      decode_request (&a, list);
       g_assert_cmpint (a.nparts, ==, 1);
       preqhead_clear (&a);
     }
 }
 
 static void
-answer (struct preplyhead *a, const char *const *lines, int status)
+decode_reply (struct preplyhead *a, const char *const *lines, int status)
 {
-  preplyhead_init (a, "id1", "life1");
+  preplyhead_init (a, "id1", "incarnation1");
   for (; *lines != NULL; lines++)
     preplyhead_add (a, *lines, strlen (*lines));
   preplyhead_finish (a, status);
 }
 
 static void
-test_answer (void)
+test_reply (void)
 {
   static const char *const lines[] = { "HTTP/1.1 100 Continue",
                                        "X-Not-Executed: 1",
@@ -202,16 +205,16 @@
                                        "X-Server-Load: 1,2,8",
                                        "Date: now",
                                        "X-Weight-Versions: 3",
-                                       "X-Instance-Id: life1",
+                                       "X-Instance-Id: incarnation1",
                                        NULL };
   g_autofree char *joined = NULL;
   struct preplyhead a;
 
-  answer (&a, lines, 200);
+  decode_reply (&a, lines, 200);
   joined = g_strjoinv ("|", a.head.lines);
   g_assert_cmpstr (joined, ==,
                    "X-Attempt-Id: id1|X-Server-Seal: s|X-Weight-Versions: 3|"
-                   "X-Instance-Id: life1");
+                   "X-Instance-Id: incarnation1");
   g_assert_true (a.head.genuine);
   g_assert_false (a.head.not_run);
   g_assert_cmpint (a.head.running, ==, 1);
@@ -220,78 +223,82 @@
   preplyhead_clear (&a);
 }
 
-/* An answer that names two requests is not surely to this one. */
+/* Guards against using a reply that names two requests: it may be to the other
+   one. */
 static void
-test_answer_of_two (void)
+test_reply_two_ids (void)
 {
-  static const char *const lines[]
-      = { "X-Server-Seal: s",     "X-Attempt-Id: id2",    "X-Attempt-Id: id1",
-          "X-Instance-Id: life2", "X-Instance-Id: life1", NULL };
+  static const char *const lines[] = { "X-Server-Seal: s",
+                                       "X-Attempt-Id: id2",
+                                       "X-Attempt-Id: id1",
+                                       "X-Instance-Id: incarnation2",
+                                       "X-Instance-Id: incarnation1",
+                                       NULL };
   struct preplyhead a;
 
-  answer (&a, lines, 421);
+  decode_reply (&a, lines, 421);
   g_assert_false (a.head.genuine);
   g_assert_false (a.head.not_run);
   g_assert_true (a.head.other_life);
   preplyhead_clear (&a);
 }
 
-/* Weights that cannot be are not believed: all that is older would be
-   refused for good. */
+/* Guards against impossible weight versions: every older version would be
+   refused from then on. */
 static void
-test_answer_version (void)
+test_reply_invalid_version (void)
 {
-  static const char *const odd[]
+  static const char *const invalid[]
       = { "X-Weight-Versions: -3", "X-Weight-Versions: 9223372036854775808",
           "X-Weight-Versions: x" };
   const char *lines[] = { NULL, NULL };
   struct preplyhead a;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (odd); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
-      lines[0] = odd[i];
-      answer (&a, lines, 200);
+      lines[0] = invalid[i];
+      decode_reply (&a, lines, 200);
       g_assert_cmpint (a.head.version, ==, 0);
       preplyhead_clear (&a);
     }
 }
 
-/* Guards against endpoints that are taken to leave, or to stay, by a header
-   that says otherwise. */
+/* Guards against misreading whether an endpoint is leaving. */
 static void
 test_leaving (void)
 {
-  static const char *const leave[] = { "Server-Leaving: 1", NULL };
-  static const char *const twice[]
+  static const char *const leaving[] = { "Server-Leaving: 1", NULL };
+  static const char *const interim[]
       = { "HTTP/1.1 100 Continue", "Server-Leaving: 1", "HTTP/1.1 200 OK",
           NULL };
-  static const char *const stay[] = { "Server-Leaving: 0", NULL };
+  static const char *const staying[] = { "Server-Leaving: 0", NULL };
   struct notice n = { .leaving = false };
   struct preplyhead a;
 
-  answer (&a, leave, 503);
+  decode_reply (&a, leaving, 503);
   g_assert_true (a.head.notice.leaving);
   preplyhead_clear (&a);
-  answer (&a, stay, 200);
+  decode_reply (&a, staying, 200);
   g_assert_false (a.head.notice.leaving);
   preplyhead_clear (&a);
-  answer (&a, twice, 200);
+  decode_reply (&a, interim, 200);
   g_assert_false (a.head.notice.leaving);
   preplyhead_clear (&a);
   pnotice_add_line (&n, "server-leaving:1\r\n", 18);
   g_assert_true (n.leaving);
 }
 
-/* Guards against rest that was not asked for, and rest that is not heard. */
+/* Guards against a backoff that was not requested, and against ignoring one
+   that was. */
 static void
-test_rest (void)
+test_retry_after (void)
 {
   static const struct
   {
-    const char *line; /* of the head */
-    int status;       /* of the answer */
-    int64_t us;       /* of rest */
+    const char *line; /* header */
+    int status;       /* status of the reply */
+    int64_t us;       /* expected backoff */
   } cases[] = {
     { "Retry-After: 3", 503, 3000000 },
     { "retry-after: 0.25", 503, 250000 },
@@ -309,22 +316,22 @@
       const char *lines[] = { cases[i].line, NULL };
       struct preplyhead a;
 
-      answer (&a, lines, cases[i].status);
+      decode_reply (&a, lines, cases[i].status);
       g_assert_cmpint (a.head.notice.rest_us, ==, cases[i].us);
       preplyhead_clear (&a);
     }
 }
 
-/* Guards against limits that are read wrong: a stray text would stop all
-   requests to an endpoint, or none. */
+/* Guards against misread rate limits: an invalid value could stop all requests
+   to an endpoint, or lift its limit. */
 static void
 test_limit (void)
 {
   static const struct
   {
-    const char *line; /* of the head */
-    bool said;        /* it names a limit */
-    int64_t milli;    /* which */
+    const char *line; /* header */
+    bool has_limit;   /* it is a Server-Limit header */
+    int64_t milli;    /* expected limit; -1 if it is invalid */
   } cases[] = {
     { "Server-Limit: 3.4", true, 3400 },
     { "server-limit:  12 ", true, 12000 },
@@ -345,25 +352,25 @@
       const char *lines[] = { cases[i].line, NULL };
       struct preplyhead a;
 
-      answer (&a, lines, 200);
-      g_assert_true (a.head.notice.limit_said == cases[i].said);
+      decode_reply (&a, lines, 200);
+      g_assert_true (a.head.notice.limit_said == cases[i].has_limit);
       g_assert_cmpint (a.head.notice.limit_milli, ==, cases[i].milli);
       preplyhead_clear (&a);
     }
 }
 
 const struct unit header_units[] = {
-  { "/headers/usual", test_usual },
-  { "/headers/not-the-callers", test_not_the_callers },
+  { "/headers/request", test_request },
+  { "/headers/reserved", test_reserved },
   { "/headers/connection", test_connection },
-  { "/headers/disguised", test_disguised },
-  { "/headers/odd-deadlines", test_odd_deadlines },
-  { "/headers/odd-parts", test_odd_parts },
-  { "/headers/answer", test_answer },
-  { "/headers/answer-of-two", test_answer_of_two },
-  { "/headers/answer-version", test_answer_version },
+  { "/headers/ambiguous", test_ambiguous },
+  { "/headers/invalid-deadlines", test_invalid_deadlines },
+  { "/headers/invalid-parts", test_invalid_parts },
+  { "/headers/reply", test_reply },
+  { "/headers/reply-two-ids", test_reply_two_ids },
+  { "/headers/reply-invalid-version", test_reply_invalid_version },
   { "/headers/leaving", test_leaving },
-  { "/headers/rest", test_rest },
+  { "/headers/retry-after", test_retry_after },
   { "/headers/limit", test_limit },
   { NULL, NULL },
 };
