--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -346,7 +346,7 @@
 
   if (h->status != status || h->version < 0 || h->running < -1)
     g_error ("a number out of its bounds");
-  if (h->genuine && !a->has_seal)
+  if (h->genuine && !a->has_server_seal)
     g_error ("an answer without a seal taken for an endpoint's");
   if (a->id != NULL && (h->genuine || h->not_run) && is_of_another (list))
     g_error ("an answer to another taken for ours");
