--- a/regress/platform.sh
+++ b/regress/platform.sh
@@ -1,6 +1,6 @@
-# The platform's store and what it says: start without it, changes of
-# configuration, keys taken away, endpoints that leave, weights, and each
-# fault of the store.  Bounds are short, so that waits are.
+# Guards against wrong use of the platform's store: at a start without it, when
+# configuration, keys, endpoints or weights change, and under each fault of the
+# store.  The time limits are short, so that the test does not wait long.
 . ./lib.sh || exit 1
 . ./site.sh
 revoke_ms=3000 lease_ms=500
@@ -9,32 +9,32 @@
 start_fake rows rows
 control rows '{"silent":1}'
 
-echo "== a start while the store is away: not ready, and not run"
+echo "== start while the store is unreachable: not ready, requests do not run"
 entry a
 ready a; echo
 ask a /safe/x
 control rows '{"silent":0}'
-echo "== the store is back, and still empty"
+echo "== the store is reachable, but empty"
 ready a; echo
 row op config "$(site_conf 3 '"k1"')"
 server p app
 wait_for is_ready a
 wait_for status_is a /safe/x 200
-echo "ready, and answered"
+echo "ready, request answered"
 
-echo "== a key is added, and taken away"
+echo "== a key is added and revoked"
 row op config "$(site_conf 5 '"k1","k2"')"
 key=k2 wait_for status_is a /safe/x 200
 row op config "$(site_conf 6 '"k1"')"
 key=k2 wait_for status_is a /safe/x 401
-echo "k2 opens nothing"
+echo "k2 is rejected"
 
-echo "== an older configuration brings nothing back"
+echo "== an older configuration does not restore a revoked key"
 row op config "$(site_conf 5 '"k1","k2"')"
 wait_for has_event a 'event=conf outcome=older conf=5'
 key=k2 ask a /safe/x
 
-echo "== history lost while an endpoint leaves: the whole list tells"
+echo "== history lost while an endpoint leaves: the full list shows it"
 server q app
 wait_for has_event a 'endpoint=i-q outcome=ready'
 control rows '{"deaf":1}'
@@ -48,7 +48,7 @@
 drop_row servers i-p
 wait_for has_event a 'endpoint=i-p outcome=removed'
 
-echo "== the store turns this VM away: keys count until the bound, then not"
+echo "== the store refuses this VM: keys are valid until the time limit"
 control rows '{"turn_away":503}'
 wait_for has_event a 'source=operator outcome=lost reason=refused'
 ask a /safe/x
@@ -58,14 +58,14 @@
 wait_for is_ready a
 ask a /safe/x
 
-echo "== the store goes silent in the middle of a poll"
+echo "== the store stops responding during a poll"
 control rows '{"silent":1}'
 wait_for is_unready a
 control rows '{"silent":0}'
 wait_for is_ready a
 ask a /safe/x
 
-echo "== frozen past the bound: the first request after the thaw is refused"
+echo "== stopped for longer than the limit: the first request afterwards is refused"
 row op config "$(site_conf 9 '"k1"')"
 wait_for has_event a 'outcome=in_force conf=9'
 kill -STOP "$pid_a"
@@ -73,26 +73,26 @@
 sleep 3.2
 control rows '{"silent":1}'
 kill -CONT "$pid_a"
-# A poll that was answered meanwhile may tell of the new keys first.
-case $(ask a /once/frozen -d x) in
+# A poll that was answered meanwhile may deliver the new keys first.
+case $(ask a /once/stopped -d x) in
 401 | 503) echo "refused" ;;
 *) echo "answered" ;;
 esac
-echo "ran $(runs frozen)"
+echo "ran $(runs stopped)"
 control rows '{"silent":0}'
 key=k3 wait_for status_is a /safe/x 200
 ask a /safe/x
 
-echo "== the settings change without a signal: a fault is told, and its end"
+echo "== settings change without a signal: an error and its end are logged"
 cp "$tmp/a.site.ini" "$tmp/a.whole"
 echo "nonsense = 1" >>"$tmp/a.site.ini"
 wait_for has_event a 'event=reload outcome=faulty'
 cp "$tmp/a.whole" "$tmp/a.new"
 mv "$tmp/a.new" "$tmp/a.site.ini"
 wait_for has_event a 'event=reload outcome=checked'
-echo "told"
+echo "logged"
 
-echo "== weights: ordered once each, read back, the lease let go"
+echo "== weights: one order per endpoint, the version is read back, the lease is released"
 key=k3
 server e llm m 1
 server f llm m 1
@@ -105,36 +105,36 @@
 id=v2 ask a /tell/x -d p
 cat "$tmp"/[ef].err | sed -n 's/.*v2 .*\(X-Cache-Salt=.*\) X-Req.*/\1/p'
 
-echo "== an order without an answer, carried out late, changes nothing twice"
+echo "== an order without a reply that is executed late takes effect once"
 control e '{"late_order":1,"late_ms":3200}'
 row op version/m '{"Model":"m","Version":3}'
 released() { [ "$(grep -c 'event=lease.*outcome=released' "$tmp/a.log")" -ge "$1" ]; }
 wait_for released 2
-late() { [ "$(grep -c 'version=3' "$tmp/e.err")" -ge 2 ]; }
-wait_for late
+late_order_ran() { [ "$(grep -c 'version=3' "$tmp/e.err")" -ge 2 ]; }
+wait_for late_order_ran
 sed -n 's/.*event=order endpoint=[0-9]* holder=a.[^ ]* fence=[0-9]* //p' "$tmp/e.err" | grep 'version=3' | sort
 
-echo "== the holder freezes in the middle: another VM finishes, with a higher fence"
+echo "== the lease holder stops midway: another VM finishes with a higher fencing token"
 entry b
 wait_for is_ready b
 control e '{"load_ms":4000}'
 control f '{"load_ms":4000}'
 row op version/m '{"Model":"m","Version":4}'
 holder() { sed -n 's/.*event=row .*"holder":"\([ab]\).*/\1/p' "$tmp/rows.err" | tail -1; }
-ordered() { [ "$(cat "$tmp/e.err" "$tmp/f.err" | grep -c 'event=order.*version=4')" -ge 1 ]; }
-wait_for ordered
+is_ordered() { [ "$(cat "$tmp/e.err" "$tmp/f.err" | grep -c 'event=order.*version=4')" -ge 1 ]; }
+wait_for is_ordered
 first=$(holder)
 eval "kill -STOP \$pid_$first"
 server g llm m 1
-other() { [ "$(holder)" != "$first" ]; }
-wait_for other
+is_other_holder() { [ "$(holder)" != "$first" ]; }
+wait_for is_other_holder
 wait_for has_line "$tmp/g.err" 'event=order.*version=4'
 eval "kill -CONT \$pid_$first"
 second=$(holder)
-let_go() { has_event "$second" 'event=lease.*outcome=released'; }
-wait_for let_go
+is_released() { has_event "$second" 'event=lease.*outcome=released'; }
+wait_for is_released
 fences=$(cat "$tmp"/[efg].err | sed -n 's/.*event=order .* holder=\([ab]\).* fence=\([0-9]*\) .*version=4.*/\1 \2/p' | sort -u)
 echo "$fences" | cut -d' ' -f1 | sort -u | grep -c .
-echo "$fences" | sort -k2n | head -1 | grep -q "^$first" && echo "the first holder has the lower fence"
+echo "$fences" | sort -k2n | head -1 | grep -q "^$first" && echo "the first holder has the lower fencing token"
 kill -TERM "$pid_a" "$pid_b"
 wait "$pid_a"; echo "exit $?"
