--- a/adapter.h
+++ b/adapter.h
@@ -157,7 +157,7 @@
 /* --- HTTP implementations -------------------------------------------- */
 
 void epc_ops (struct endpoint_ops *ops, struct xfer_pool *pool);
-void storec_ops (struct store_ops *ops, struct xfer_pool *pool);
+void storeclient_init (struct store_ops *ops, struct xfer_pool *pool);
 
 /* Name of a segment in a store. */
 #define SEGMENT_NAME_SIZE 34
--- a/adm.c
+++ b/adm.c
@@ -165,7 +165,7 @@
 static json_t *
 list_stores (struct req *r)
 {
-  return kept_list (r->worker->server);
+  return kvcache_list_stores (r->worker->server);
 }
 
 /* A list by name. */
--- a/adopt.c
+++ b/adopt.c
@@ -118,7 +118,7 @@
   s->routes = route_new (make_seed (vm));
   s->prefixes = pfx_new ((size_t)vm->prefix_entries, s->max_endpoints);
   s->history = history_new ((int)vm->history);
-  s->kept = kept_new (s, cfg);
+  s->kvcache = kvcache_new (s, cfg);
 }
 
 static bool
@@ -143,7 +143,7 @@
     set_workspace (&s->workspaces[i], cfg_workspace (cfg, i), i);
   for (i = 0; i < cfg_count (cfg, CFG_ENDPOINT); i++)
     set_endpoint (s, cfg, i);
-  kept_adopt (s->kept, cfg);
+  kvcache_apply_cfg (s->kvcache, cfg);
   g_mutex_unlock (&s->route_lock);
   g_mutex_unlock (&s->lim_lock);
 }
@@ -172,7 +172,7 @@
 }
 
 bool
-adopt_settings (struct server *s, struct cfg *cfg)
+server_apply_cfg (struct server *s, struct cfg *cfg)
 {
   struct cfg *old;
 
@@ -201,7 +201,7 @@
 }
 
 void
-adopt_free (struct server *s)
+server_free_tables (struct server *s)
 {
   int i;
 
@@ -213,6 +213,6 @@
   g_free (s->services);
   route_free (s->routes);
   pfx_free (s->prefixes);
-  kept_free (s->kept);
+  kvcache_free (s->kvcache);
   history_free (s->history);
 }
--- a/attempt.c
+++ b/attempt.c
@@ -14,7 +14,7 @@
   struct prompt_extra extra = { .urgent = j->urgent };
 
   extra.cache_salt = j->cache_salt;
-  extra.import = kept_import_order (j);
+  extra.import = kvcache_import_order (j);
   extra.max_tokens = j->max_tokens;
   if (j->begun)
     {
@@ -129,7 +129,7 @@
 {
   if (j->cached_tokens < 0)
     j->cached_tokens = j->strm.cached;
-  kept_import_end (j, j->cached_tokens);
+  kvcache_import_end (j, j->cached_tokens);
   if (j->first_us != 0)
     return;
   j->first_us = loop_now_us ();
@@ -344,9 +344,9 @@
            out_next_name (v.next), j->stopped ? j->stopped : v.reason,
            (gint64)(now - j->sent_us), error);
   tell_routing (j, sent, now);
-  kept_import_end (j, j->cached_tokens);
+  kvcache_import_end (j, j->cached_tokens);
   if (j->model && sent == SEND_WHOLE && j->status == 200)
-    kept_answered (j);
+    kvcache_on_completed (j);
   place_release (j, now);
   if (v.next == NEXT_FINISH)
     finish_attempt (j, v);
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -615,7 +615,7 @@
           best_e = e;
         }
     }
-  take_plan (t, best_e, best.store, best.import_to, best.import_us);
+  take_plan (t, best_e, best.store, best.import_end_tokens, best.import_us);
 }
 
 static void
--- a/conf.c
+++ b/conf.c
@@ -110,7 +110,7 @@
 {
   g_autoptr (GError) err = NULL;
   struct cfg *cfg = conf_build (c, NULL, &err);
-  bool good = cfg != NULL && adopt_settings (c->server, cfg);
+  bool good = cfg != NULL && server_apply_cfg (c->server, cfg);
 
   /* The change is accepted everywhere; here it contradicts this VM's own
      overlay, or does not fit.  The settings before stay in force. */
--- a/export.c
+++ b/export.c
@@ -38,22 +38,22 @@
  * deepest of its segments that once ended a prompt tells.
  */
 static void
-learn_return (struct kept *k, struct job *j, int64_t now_us)
+learn_return (struct kvcache *k, struct job *j, int64_t now_us)
 {
-  struct keep *keep = &k->keeps[j->workspace->index];
+  struct keep *keep = &k->return_stats[j->workspace->index];
   int last = j->ndigests / DIR_SEGMENT_BLOCKS * DIR_SEGMENT_BLOCKS;
   struct dir_entry *e = NULL;
   int at;
 
   for (at = last; at > 0 && e == NULL; at -= DIR_SEGMENT_BLOCKS)
-    e = dir_find (k->seen, j->digests[at - 1]);
+    e = dir_find (k->seen_prompts, j->digests[at - 1]);
   if (e != NULL)
     keep_returned (keep, now_us - e->used_us);
   keep_used (keep);
   if (last == 0)
     return;
-  e = dir_add (k->seen, j->digests[last - 1], 0, 0, now_us);
-  dir_touch (k->seen, e, now_us);
+  e = dir_add (k->seen_prompts, j->digests[last - 1], 0, 0, now_us);
+  dir_touch (k->seen_prompts, e, now_us);
 }
 
 /* --- export ---------------------------------------------------------- */
@@ -65,7 +65,7 @@
 }
 
 static bool
-worth_keeping (struct kept *k, const struct job *j, const struct store *st)
+worth_keeping (struct kvcache *k, const struct job *j, const struct store *st)
 {
   struct keep_in in = { .tokens = SEGMENT_TOKENS };
 
@@ -75,29 +75,29 @@
             ->prefill_tokens_s;
   in.link_bytes_s = st->link.bytes_s;
   in.span_us = j->sc->keep_span_s * CQ_US_PER_S;
-  return keep_worth (&k->keeps[j->workspace->index], &in) > 0;
+  return keep_worth (&k->return_stats[j->workspace->index], &in) > 0;
 }
 
 /* The whole prompt goes to one store: by its first segment, so that all VMs
    choose alike. */
 static struct store *
-home_store (struct kept *k, const struct job *j)
+home_store (struct kvcache *k, const struct job *j)
 {
   uint64_t start = j->digests[DIR_SEGMENT_BLOCKS - 1];
   struct store *st;
   int i;
 
-  for (i = 0; i < k->n; i++)
+  for (i = 0; i < k->nstores; i++)
     {
-      st = &k->stores[(start + (uint64_t)i) % (uint64_t)k->n];
-      if (st->up)
+      st = &k->stores[(start + (uint64_t)i) % (uint64_t)k->nstores];
+      if (st->is_up)
         return st;
     }
   return NULL;
 }
 
 static bool
-stored (struct kept *k, uint64_t digest, int store)
+stored (struct kvcache *k, uint64_t digest, int store)
 {
   const struct dir_entry *e = dir_find (k->dir, digest);
   int c;
@@ -110,7 +110,7 @@
 
 /* Segments worth exporting, under route_lock; their bytes are queued. */
 static void
-collect (struct kept *k, struct job *j, struct store *st, struct order *o,
+collect (struct kvcache *k, struct job *j, struct store *st, struct order *o,
          int64_t now_us)
 {
   int64_t bytes = segment_bytes (j);
@@ -176,7 +176,7 @@
 {
   struct order *o = arg;
   struct server *s = o->server;
-  struct kept *k = s->kept;
+  struct kvcache *k = s->kvcache;
   struct store *st = &k->stores[o->store];
   int64_t now = loop_now_us ();
   int64_t moving_us = 0;
@@ -187,7 +187,7 @@
   link_end (&st->link, LINK_EXPORT, o->bytes, n == o->n ? moving_us : 0);
   for (i = 0; i < n; i++)
     dir_add (k->dir, o->digests[i], o->store, o->write_ids[i], now);
-  k->bytes[o->workspace] += o->n > 0 ? o->bytes / o->n * n : 0;
+  k->exported_bytes[o->workspace] += o->n > 0 ? o->bytes / o->n * n : 0;
   g_mutex_unlock (&s->route_lock);
   log_event (LOG_LEVEL_INFO, "export",
              "req=%s endpoint=%s store=%s segments=%d sealed=%d status=%d "
@@ -245,7 +245,7 @@
 keep_work (struct job *j, int64_t now_us)
 {
   struct server *s = j->worker->server;
-  struct kept *k = s->kept;
+  struct kvcache *k = s->kvcache;
   struct order *o = g_new0 (struct order, 1);
   struct store *st;
 
@@ -285,16 +285,16 @@
 }
 
 void
-kept_answered (struct job *j)
+kvcache_on_completed (struct job *j)
 {
   struct server *s = j->worker->server;
   int64_t now = loop_now_us ();
 
   note_cached (j);
   g_mutex_lock (&s->route_lock);
-  learn_return (s->kept, j, now);
+  learn_return (s->kvcache, j, now);
   g_mutex_unlock (&s->route_lock);
-  if (j->sc->kv_token_bytes > 0 && s->kept->n > 0
+  if (j->sc->kv_token_bytes > 0 && s->kvcache->nstores > 0
       && j->ndigests >= DIR_SEGMENT_BLOCKS)
     keep_work (j, now);
 }
@@ -307,7 +307,7 @@
  * and so drop much the same, which wastes nothing but a repeated delete.
  */
 static struct dir_entry *
-oldest_in (struct kept *k, int store)
+oldest_in (struct kvcache *k, int store)
 {
   struct dir_entry *e;
   size_t i;
@@ -335,7 +335,7 @@
 static bool
 drop_one (struct store *st)
 {
-  struct kept *k = st->kept;
+  struct kvcache *k = st->kvcache;
   struct store_ops *ops = &k->worker->stores;
   struct dir_entry *e;
   uint64_t digest = 0;
@@ -357,19 +357,20 @@
 }
 
 void
-export_make_room (struct store *st, int64_t now_us)
+kvexport_evict (struct store *st, int64_t now_us)
 {
   int64_t each;
   int n, dropped = 0;
 
   (void)now_us;
-  if (st->capacity == 0 || st->used * 100 < st->capacity * FULL_PERCENT)
+  if (st->capacity_bytes == 0
+      || st->used_bytes * 100 < st->capacity_bytes * FULL_PERCENT)
     return;
-  n = (int)dir_count (st->kept->dir);
-  each = n > 0 ? st->used / n : 0;
+  n = (int)dir_count (st->kvcache->dir);
+  each = n > 0 ? st->used_bytes / n : 0;
   if (each == 0)
     return;
-  n = (int)(st->capacity * ROOM_PERCENT / 100 / each) + 1;
+  n = (int)(st->capacity_bytes * ROOM_PERCENT / 100 / each) + 1;
   while (dropped < n && drop_one (st))
     dropped++;
   log_event (LOG_LEVEL_INFO, "make_room", "store=%s dropped=%d", st->cfg->id,
--- a/job.c
+++ b/job.c
@@ -251,7 +251,7 @@
   int64_t used = j->model ? j->prompt.prompt_tokens + j->strm.tokens : j->cost;
 
   attempt_stop (j);
-  kept_import_end (j, -1);
+  kvcache_import_end (j, -1);
   place_release (j, now);
   if (j->admitted)
     place_refund (j, outcome == OUT_NOT_RUN ? j->cost : j->cost - used);
--- a/kept.c
+++ b/kept.c
@@ -20,7 +20,7 @@
 static void
 take_change (struct store *st, const struct store_change *c, int64_t now_us)
 {
-  struct kept *k = st->kept;
+  struct kvcache *k = st->kvcache;
 
   if (c->sealed)
     dir_add (k->dir, c->digest, st->index, c->write_id, now_us);
@@ -40,13 +40,13 @@
 static void
 take_listing (struct store *st, const struct store_listing *l, int64_t now_us)
 {
-  struct server *s = st->kept->server;
+  struct server *s = st->kvcache->server;
   int i;
 
   g_mutex_lock (&s->route_lock);
   if (must_start_over (st, l))
     {
-      dir_forget_store (st->kept->dir, st->index);
+      dir_forget_store (st->kvcache->dir, st->index);
       g_strlcpy (st->incarnation, l->incarnation, sizeof st->incarnation);
       st->next_change = 0;
       log_event (LOG_LEVEL_INFO, "store", "store=%s incarnation=%s restart=1",
@@ -58,8 +58,8 @@
         take_change (st, &l->changes[i], now_us);
       st->next_change = l->next;
     }
-  st->used = l->used;
-  st->capacity = l->capacity;
+  st->used_bytes = l->used;
+  st->capacity_bytes = l->capacity;
   g_mutex_unlock (&s->route_lock);
 }
 
@@ -67,22 +67,22 @@
 on_listing (void *arg, bool reached, const struct store_listing *l)
 {
   struct store *st = arg;
-  struct server *s = st->kept->server;
+  struct server *s = st->kvcache->server;
   int64_t now = loop_now_us ();
 
-  st->asked = false;
-  st->next_us = now + cfg_vm (server_cfg (s))->poll_ms * CQ_US_PER_MS;
+  st->listing_pending = false;
+  st->next_listing_us = now + cfg_vm (server_cfg (s))->poll_ms * CQ_US_PER_MS;
   if (reached)
     {
-      st->missed = 0;
-      st->up = true;
+      st->missed_listings = 0;
+      st->is_up = true;
       take_listing (st, l, now);
-      export_make_room (st, now);
+      kvexport_evict (st, now);
       return;
     }
-  if (++st->missed == LIST_TIMEOUT_MISSES)
+  if (++st->missed_listings == LIST_TIMEOUT_MISSES)
     {
-      st->up = false;
+      st->is_up = false;
       log_event (LOG_LEVEL_WARNING, "store", "store=%s silent=1", st->cfg->id);
     }
 }
@@ -90,17 +90,18 @@
 static void
 on_timer (void *arg, int64_t now_us)
 {
-  struct kept *k = arg;
+  struct kvcache *k = arg;
   struct store_ops *ops = &k->worker->stores;
   struct store *st;
   int i;
 
-  for (i = 0; i < k->n; i++)
+  for (i = 0; i < k->nstores; i++)
     {
       st = &k->stores[i];
-      if (st->asked || st->next_us > now_us || st->cfg->removed)
+      if (st->listing_pending || st->next_listing_us > now_us
+          || st->cfg->removed)
         continue;
-      st->asked = true;
+      st->listing_pending = true;
       ops->list (ops->ctx, st->cfg->address, st->next_change, on_listing, st);
     }
   loop_arm (k->worker->loop, &k->timer,
@@ -111,8 +112,8 @@
 /* --- imports --------------------------------------------------------- */
 
 int
-kept_sources (struct kept *k, struct job *j, int64_t now_us,
-              struct plan_source *sources, int max)
+kvcache_find_sources (struct kvcache *k, struct job *j, int64_t now_us,
+                      struct plan_source *sources, int max)
 {
   int64_t token_bytes = j->sc->kv_token_bytes;
   struct store *st;
@@ -121,10 +122,10 @@
 
   if (token_bytes == 0)
     return 0;
-  for (i = 0; i < k->n && n < max; i++)
+  for (i = 0; i < k->nstores && n < max; i++)
     {
       st = &k->stores[i];
-      depth = st->up ? dir_depth (k->dir, j->digests, j->ndigests, i) : 0;
+      depth = st->is_up ? dir_depth (k->dir, j->digests, j->ndigests, i) : 0;
       if (depth == 0)
         continue;
       sources[n].store = i;
@@ -144,7 +145,7 @@
 }
 
 void
-kept_import_begin (struct kept *k, struct job *j, int64_t now_us)
+kvcache_import_begin (struct kvcache *k, struct job *j, int64_t now_us)
 {
   struct store *st;
 
@@ -158,7 +159,7 @@
 
 /* The import is over, or will not happen. */
 void
-kept_import_end (struct job *j, int64_t cached_tokens)
+kvcache_import_end (struct job *j, int64_t cached_tokens)
 {
   struct server *s = j->worker->server;
   struct store *st;
@@ -168,7 +169,7 @@
   if (!j->importing)
     return;
   j->importing = false;
-  st = &s->kept->stores[j->choice.store];
+  st = &s->kvcache->stores[j->choice.store];
   g_mutex_lock (&s->route_lock);
   link_end (&st->link, LINK_IMPORT, import_bytes (j), 0);
   if (cached_tokens >= wanted)
@@ -183,7 +184,7 @@
 }
 
 static void
-add_segment (json_t *names, struct kept *k, uint64_t digest, int store)
+add_segment (json_t *names, struct kvcache *k, uint64_t digest, int store)
 {
   const struct dir_entry *e = dir_find (k->dir, digest);
   char name[SEGMENT_NAME_SIZE];
@@ -205,7 +206,7 @@
  * becomes cheaper: past it the engine computes, whatever the link does.
  */
 json_t *
-kept_import_order (struct job *j)
+kvcache_import_order (struct job *j)
 {
   struct server *s = j->worker->server;
   int64_t to = j->choice.cached_tokens + j->choice.import_tokens;
@@ -221,36 +222,36 @@
   g_mutex_lock (&s->route_lock);
   for (at = DIR_SEGMENT_BLOCKS; (int64_t)at * BLOCK_TOKENS <= to;
        at += DIR_SEGMENT_BLOCKS)
-    add_segment (names, s->kept, j->digests[at - 1], j->choice.store);
+    add_segment (names, s->kvcache, j->digests[at - 1], j->choice.store);
   g_mutex_unlock (&s->route_lock);
   return json_pack ("{s:s,s:I,s:o}", "store",
-                    s->kept->stores[j->choice.store].cfg->address, "limit_ms",
-                    (json_int_t)limit_ms, "segments", names);
+                    s->kvcache->stores[j->choice.store].cfg->address,
+                    "limit_ms", (json_int_t)limit_ms, "segments", names);
 }
 
 /* --- operators ------------------------------------------------------- */
 
 json_t *
-kept_list (struct server *s)
+kvcache_list_stores (struct server *s)
 {
   json_t *list = json_array ();
   const struct store *st;
   int i;
 
   g_mutex_lock (&s->route_lock);
-  for (i = 0; i < s->kept->n; i++)
+  for (i = 0; i < s->kvcache->nstores; i++)
     {
-      st = &s->kept->stores[i];
+      st = &s->kvcache->stores[i];
       json_array_append_new (
           list,
           json_pack ("{s:s,s:s,s:b,s:I,s:I,s:I,s:I,s:I}", "name", st->cfg->id,
-                     "domain", st->cfg->domain, "up", st->up, "used_bytes",
-                     (json_int_t)st->used, "capacity_bytes",
-                     (json_int_t)st->capacity, "link_bytes_s",
+                     "domain", st->cfg->domain, "up", st->is_up, "used_bytes",
+                     (json_int_t)st->used_bytes, "capacity_bytes",
+                     (json_int_t)st->capacity_bytes, "link_bytes_s",
                      (json_int_t)st->link.bytes_s, "imports_waiting_bytes",
-                     (json_int_t)st->link.queued[LINK_IMPORT],
+                     (json_int_t)st->link.queued_bytes[LINK_IMPORT],
                      "exports_waiting_bytes",
-                     (json_int_t)st->link.queued[LINK_EXPORT]));
+                     (json_int_t)st->link.queued_bytes[LINK_EXPORT]));
     }
   g_mutex_unlock (&s->route_lock);
   return list;
@@ -258,24 +259,24 @@
 
 /* --- life ------------------------------------------------------------ */
 
-struct kept *
-kept_new (struct server *s, struct cfg *cfg)
+struct kvcache *
+kvcache_new (struct server *s, struct cfg *cfg)
 {
-  struct kept *k = g_new0 (struct kept, 1);
+  struct kvcache *k = g_new0 (struct kvcache, 1);
   const struct cfg_vm *vm = cfg_vm (cfg);
 
   k->server = s;
   k->stores = g_new0 (struct store, s->max_stores);
   k->dir = dir_new ((size_t)vm->kept_entries);
-  k->seen = dir_new ((size_t)vm->kept_entries);
-  k->keeps = g_new0 (struct keep, s->max_workspaces);
-  k->bytes = g_new0 (int64_t, s->max_workspaces);
+  k->seen_prompts = dir_new ((size_t)vm->kept_entries);
+  k->return_stats = g_new0 (struct keep, s->max_workspaces);
+  k->exported_bytes = g_new0 (int64_t, s->max_workspaces);
   return k;
 }
 
 /* Under route_lock: take in the stores of CFG. */
 void
-kept_adopt (struct kept *k, struct cfg *cfg)
+kvcache_apply_cfg (struct kvcache *k, struct cfg *cfg)
 {
   struct store *st;
   int i;
@@ -285,17 +286,17 @@
       st = &k->stores[i];
       if (st->cfg == NULL)
         link_init (&st->link, cfg_store (cfg, i)->link_mb_s * 1000000, 0);
-      st->kept = k;
+      st->kvcache = k;
       st->index = i;
       st->cfg = cfg_store (cfg, i);
       if (st->cfg->removed)
-        st->up = false;
+        st->is_up = false;
     }
-  k->n = cfg_count (cfg, CFG_STORE);
+  k->nstores = cfg_count (cfg, CFG_STORE);
 }
 
 void
-kept_start (struct kept *k, struct worker *w)
+kvcache_start (struct kvcache *k, struct worker *w)
 {
   k->worker = w;
   k->timer.fire = on_timer;
@@ -305,19 +306,19 @@
 
 /* Ask for no more listings. */
 void
-kept_stop (struct kept *k)
+kvcache_stop (struct kvcache *k)
 {
   loop_disarm (&k->timer);
 }
 
 void
-kept_free (struct kept *k)
+kvcache_free (struct kvcache *k)
 {
   loop_disarm (&k->timer);
   dir_free (k->dir);
-  dir_free (k->seen);
+  dir_free (k->seen_prompts);
   g_free (k->stores);
-  g_free (k->keeps);
-  g_free (k->bytes);
+  g_free (k->return_stats);
+  g_free (k->exported_bytes);
   g_free (k);
 }
--- a/kept.h
+++ b/kept.h
@@ -71,12 +71,12 @@
 /* A link as far as this VM knows it. */
 struct link
 {
-  int64_t bytes_s;              /* smoothed rate while it is busy */
-  int64_t grain;                /* bytes of one segment */
-  int64_t queued[LINK_CLASSES]; /* bytes asked for and not done */
-  int64_t used[LINK_CLASSES];   /* bytes done, for the measures */
-  int64_t others_us;            /* smoothed wait behind other VMs' transfers */
-  int64_t others_at_us;         /* when that was learned */
+  int64_t bytes_s;                    /* smoothed rate while it is busy */
+  int64_t grain;                      /* bytes of one segment */
+  int64_t queued_bytes[LINK_CLASSES]; /* bytes asked for and not done */
+  int64_t done_bytes[LINK_CLASSES];   /* bytes done, for the measures */
+  int64_t others_wait_us;    /* smoothed wait behind other VMs' transfers */
+  int64_t others_wait_at_us; /* when that was learned */
 };
 
 void link_init (struct link *l, int64_t bytes_s, int64_t grain);
@@ -124,12 +124,12 @@
 /* The way chosen. */
 struct plan
 {
-  int store;          /* source of the import, -1 for none */
-  int64_t import_to;  /* leading tokens there after the import */
-  int64_t import_us;  /* wait and transfer */
-  int64_t compute_us; /* for the rest of the prompt */
-  int64_t first_us;   /* expected time to first token */
-  int64_t score;      /* weighted sum that was least */
+  int store;                 /* source of the import, -1 for none */
+  int64_t import_end_tokens; /* leading tokens there after the import */
+  int64_t import_us;         /* wait and transfer */
+  int64_t compute_us;        /* for the rest of the prompt */
+  int64_t first_us;          /* expected time to first token */
+  int64_t score;             /* weighted sum that was least */
 };
 
 struct plan plan_best (const struct plan_in *in,
--- a/libkept.h
+++ b/libkept.h
@@ -11,34 +11,34 @@
    its listings, which belongs to the first worker's thread. */
 struct store
 {
-  struct kept *kept;           /* whose */
+  struct kvcache *kvcache;     /* whose */
   int index;                   /* place in the settings */
   const struct cfg_store *cfg; /* declared */
   struct link link;            /* its link */
-  bool up;                     /* its listings arrive */
+  bool is_up;                  /* its listings arrive */
   char incarnation[40];        /* which life of it is known */
   int64_t next_change;         /* number of the next change */
-  int64_t used;                /* bytes in use */
-  int64_t capacity;            /* bytes in all */
-  bool asked;                  /* a listing is under way */
-  int missed;                  /* listings missed in a row */
-  int64_t next_us;             /* when to ask again */
+  int64_t used_bytes;          /* bytes in use */
+  int64_t capacity_bytes;      /* bytes in all */
+  bool listing_pending;        /* a listing is under way */
+  int missed_listings;         /* listings missed in a row */
+  int64_t next_listing_us;     /* when to ask again */
 };
 
-struct kept
+struct kvcache
 {
-  struct server *server;   /* whose */
-  struct worker *worker;   /* whose thread asks for listings */
-  struct loop_timer timer; /* next look */
-  struct store *stores;    /* by place in the settings */
-  int n;                   /* their number */
-  struct dir *dir;         /* what they hold */
-  struct dir *seen;        /* last segments of prompts seen lately */
-  struct keep *keeps;      /* by workspace */
-  int64_t *bytes;          /* bytes this VM kept, by workspace */
+  struct server *server;     /* whose */
+  struct worker *worker;     /* whose thread asks for listings */
+  struct loop_timer timer;   /* next look */
+  struct store *stores;      /* by place in the settings */
+  int nstores;               /* their number */
+  struct dir *dir;           /* what they hold */
+  struct dir *seen_prompts;  /* last segments of prompts seen lately */
+  struct keep *return_stats; /* by workspace */
+  int64_t *exported_bytes;   /* bytes this VM kept, by workspace */
 };
 
 /* Drop what is worth least from a store that is nearly full. */
-void export_make_room (struct store *st, int64_t now_us);
+void kvexport_evict (struct store *st, int64_t now_us);
 
 #endif
--- a/libserver.h
+++ b/libserver.h
@@ -33,7 +33,7 @@
 struct entry;
 struct history;
 struct job;
-struct kept;
+struct kvcache;
 struct member;
 struct req;
 struct server;
@@ -117,7 +117,7 @@
   struct pfx *prefixes;         /* who holds which prompt prefix */
   struct history *history;      /* finished requests */
   struct claims *claims;        /* NULL without a table */
-  struct kept *kept;            /* kept work; guarded by route_lock */
+  struct kvcache *kvcache;      /* kept work; guarded by route_lock */
   struct entry *entry;          /* requests that are passed on, or NULL */
   struct poller *poller;        /* asks endpoints for load reports */
   int64_t started_us;           /* when the process started */
@@ -141,8 +141,8 @@
 
 /* Fill the tables from the settings, the first time and after a change; on
    the first worker's thread.  False if they do not fit. */
-bool adopt_settings (struct server *s, struct cfg *cfg);
-void adopt_free (struct server *s);
+bool server_apply_cfg (struct server *s, struct cfg *cfg);
+void server_free_tables (struct server *s);
 void server_set_phase (struct server *s, enum phase phase);
 
 /* --- refusals -------------------------------------------------------- */
@@ -548,24 +548,24 @@
 
 /* --- kept work (kept.c, export.c) ------------------------------------ */
 
-struct kept *kept_new (struct server *s, struct cfg *cfg);
-void kept_adopt (struct kept *k, struct cfg *cfg);
-void kept_free (struct kept *k);
-void kept_start (struct kept *k, struct worker *w);
-void kept_stop (struct kept *k);
+struct kvcache *kvcache_new (struct server *s, struct cfg *cfg);
+void kvcache_apply_cfg (struct kvcache *k, struct cfg *cfg);
+void kvcache_free (struct kvcache *k);
+void kvcache_start (struct kvcache *k, struct worker *w);
+void kvcache_stop (struct kvcache *k);
 
 /* Under route_lock: stores that hold a head of J's prompt. */
-int kept_sources (struct kept *k, struct job *j, int64_t now_us,
-                  struct plan_source *sources, int max);
+int kvcache_find_sources (struct kvcache *k, struct job *j, int64_t now_us,
+                          struct plan_source *sources, int max);
 /* Under route_lock: note that J imports what its choice says. */
-void kept_import_begin (struct kept *k, struct job *j, int64_t now_us);
+void kvcache_import_begin (struct kvcache *k, struct job *j, int64_t now_us);
 /* The import ended with the first event, which said CACHED tokens. */
-void kept_import_end (struct job *j, int64_t cached_tokens);
+void kvcache_import_end (struct job *j, int64_t cached_tokens);
 /* What the engine is told to import, or NULL. */
-json_t *kept_import_order (struct job *j);
+json_t *kvcache_import_order (struct job *j);
 /* J was answered: learn from it, and keep what is worth it. */
-void kept_answered (struct job *j);
-json_t *kept_list (struct server *s);
+void kvcache_on_completed (struct job *j);
+json_t *kvcache_list_stores (struct server *s);
 
 /* --- load reports ---------------------------------------------------- */
 
--- a/link.c
+++ b/link.c
@@ -20,11 +20,11 @@
 static int64_t
 others_now (const struct link *l, int64_t now_us)
 {
-  int64_t halvings = (now_us - l->others_at_us) / OTHERS_HALF_LIFE_US;
+  int64_t halvings = (now_us - l->others_wait_at_us) / OTHERS_HALF_LIFE_US;
 
   if (halvings > OTHERS_MAX_HALVINGS)
     return 0;
-  return l->others_us >> halvings;
+  return l->others_wait_us >> halvings;
 }
 
 /*
@@ -38,10 +38,10 @@
   int c;
 
   for (c = 0; c <= (int)class; c++)
-    ahead += l->queued[c];
+    ahead += l->queued_bytes[c];
   /* A transfer that moves is not broken off for a higher class. */
   for (; c < LINK_CLASSES; c++)
-    if (l->queued[c] > 0)
+    if (l->queued_bytes[c] > 0)
       {
         ahead += l->grain;
         break;
@@ -62,8 +62,8 @@
 
   if (seen < 0)
     seen = 0;
-  l->others_us = before + (seen - before) / OTHERS_SMOOTHING;
-  l->others_at_us = now_us;
+  l->others_wait_us = before + (seen - before) / OTHERS_SMOOTHING;
+  l->others_wait_at_us = now_us;
 }
 
 /*
@@ -80,7 +80,7 @@
 
   if (class == LINK_IMPORT)
     return true;
-  if (l->queued[LINK_IMPORT] > 0 && class == LINK_COPY)
+  if (l->queued_bytes[LINK_IMPORT] > 0 && class == LINK_COPY)
     return false;
   ahead = link_wait_us (l, LINK_COPY, now_us) + bytes * US_PER_S / l->bytes_s;
   return ahead <= budget_us;
@@ -89,7 +89,7 @@
 void
 link_begin (struct link *l, enum link_class class, int64_t bytes)
 {
-  l->queued[class] += bytes;
+  l->queued_bytes[class] += bytes;
 }
 
 /* A transfer ended after MOVING_US on the link, 0 if it was given up. */
@@ -99,12 +99,12 @@
 {
   int64_t seen;
 
-  l->queued[class] -= bytes;
-  if (l->queued[class] < 0)
-    l->queued[class] = 0;
+  l->queued_bytes[class] -= bytes;
+  if (l->queued_bytes[class] < 0)
+    l->queued_bytes[class] = 0;
   if (moving_us <= 0)
     return;
-  l->used[class] += bytes;
+  l->done_bytes[class] += bytes;
   seen = bytes * US_PER_S / moving_us;
   l->bytes_s += (seen - l->bytes_s) / SMOOTHING;
   if (l->bytes_s < LEAST_RATE)
--- a/plan.c
+++ b/plan.c
@@ -27,18 +27,18 @@
 price (const struct plan_in *in, const struct plan_source *s, int64_t to,
        const struct plan_weights *w)
 {
-  struct plan p = { .store = -1, .import_to = in->cached_tokens };
+  struct plan p = { .store = -1, .import_end_tokens = in->cached_tokens };
   int64_t moving_us = 0;
 
   if (s != NULL && to > in->cached_tokens)
     {
       p.store = s->store;
-      p.import_to = to;
+      p.import_end_tokens = to;
       moving_us = tokens_us (to - in->cached_tokens, s->tokens_s);
       p.import_us = s->wait_us + s->setup_us + moving_us;
     }
-  p.compute_us
-      = tokens_us (in->prompt_tokens - p.import_to, in->prefill_tokens_s);
+  p.compute_us = tokens_us (in->prompt_tokens - p.import_end_tokens,
+                            in->prefill_tokens_s);
   /* The import goes on while earlier prompts are being computed. */
   p.first_us
       = in->network_us + max64 (in->queue_us, p.import_us) + p.compute_us;
--- a/pump.c
+++ b/pump.c
@@ -220,7 +220,8 @@
       q.nhits
           = pfx_lookup (s->prefixes, j->digests, j->ndigests, hits, MAX_HITS);
       q.sources = sources;
-      q.nsources = kept_sources (s->kept, j, now_us, sources, MAX_SOURCES);
+      q.nsources
+          = kvcache_find_sources (s->kvcache, j, now_us, sources, MAX_SOURCES);
     }
   c = route_pick (s->routes, &q, now_us);
   if (c.code == ROUTE_CHOSEN)
@@ -264,7 +265,7 @@
           j->pending++;
           j->holding = j->choice.code == ROUTE_CHOSEN;
           if (j->holding)
-            kept_import_begin (s->kept, j, now_us);
+            kvcache_import_begin (s->kvcache, j, now_us);
           else
             fq_finished (flow_of (j));
         }
--- a/regress/drive.c
+++ b/regress/drive.c
@@ -366,7 +366,7 @@
   printf ("%s up to %" G_GINT64_FORMAT ", compute %" G_GINT64_FORMAT
           " us, first token %" G_GINT64_FORMAT " us, score %" G_GINT64_FORMAT
           "\n",
-          p.store < 0 ? "no import" : "import", (gint64)p.import_to,
+          p.store < 0 ? "no import" : "import", (gint64)p.import_end_tokens,
           (gint64)p.compute_us, (gint64)p.first_us, (gint64)p.score);
 }
 
--- a/route.c
+++ b/route.c
@@ -250,7 +250,7 @@
   c.compute_us = p.compute_us;
   c.store = p.store;
   c.import_us = p.import_us;
-  c.import_tokens = p.store < 0 ? 0 : p.import_to - in.cached_tokens;
+  c.import_tokens = p.store < 0 ? 0 : p.import_end_tokens - in.cached_tokens;
   c.cost_us = p.first_us;
   c.score = p.score;
   return c;
--- a/srv.c
+++ b/srv.c
@@ -61,7 +61,7 @@
   w->sweep.fire = on_sweep;
   w->sweep.arg = w;
   epc_ops (&w->endpoints, w->pool);
-  storec_ops (&w->stores, w->pool);
+  storeclient_init (&w->stores, w->pool);
   if (p->objects[0] != '\0')
     objc_ops (&w->objects, w->pool, p->objects, p->timeout_ms);
   w->door = api_open (w);
@@ -145,7 +145,7 @@
   if (s->entry != NULL)
     entry_stop (s->entry);
   poller_stop (s->poller);
-  kept_stop (s->kept);
+  kvcache_stop (s->kvcache);
   if (s->conf != NULL)
     conf_stop (s->conf);
   if (s->member != NULL)
@@ -331,7 +331,7 @@
 
   g_mutex_init (&s->lim_lock);
   g_mutex_init (&s->route_lock);
-  adopt_settings (s, s->cfg);
+  server_apply_cfg (s, s->cfg);
   s->nworkers = (int)cfg_vm (server_cfg (s))->workers;
   s->listen_fd = server_listen (s, cfg_vm (server_cfg (s))->listen);
   if (s->listen_fd < 0)
@@ -346,7 +346,7 @@
   if (s->conf != NULL)
     conf_start (s->conf);
   s->poller = poller_new (s, &s->workers[0]);
-  kept_start (s->kept, &s->workers[0]);
+  kvcache_start (s->kvcache, &s->workers[0]);
   for (i = 0; i < s->nworkers; i++)
     s->workers[i].thread = g_thread_new ("worker", run_worker, &s->workers[i]);
   return true;
@@ -365,7 +365,7 @@
   conf_free (s->conf);
   poller_free (s->poller);
   claims_free (s->claims);
-  adopt_free (s);
+  server_free_tables (s);
   for (i = 0; i < s->nworkers; i++)
     free_worker (&s->workers[i]);
   g_free (s->workers);
--- a/storec.c
+++ b/storec.c
@@ -152,7 +152,7 @@
 }
 
 void
-storec_ops (struct store_ops *ops, struct xfer_pool *pool)
+storeclient_init (struct store_ops *ops, struct xfer_pool *pool)
 {
   ops->list = list;
   ops->drop = drop;
