--- a/kept.c
+++ b/kept.c
@@ -1,24 +1,26 @@
 /*
- * Kept work on this VM: the directory of what the stores hold, and imports.
+ * KV cache stores on this VM: the directory of stored segments, and imports.
  *
- * The directory is a hint, fed by the stores' listings and by our own
- * exports.  A wrong entry costs time only: the engine checks name, length and
- * digest of what it imports, and computes what it cannot use.
+ * The directory is a hint, updated from the stores' listings and from this
+ * VM's exports.  A wrong entry costs time only: the engine checks the name,
+ * length and digest of each segment that it imports, and computes what it
+ * cannot use.
  */
 #include "libkept.h"
 
 #include <string.h>
 
-#define LIST_TIMEOUT_MISSES                                                   \
-  3                        /* listings missed before a store counts as down */
-#define SETUP_US 2000      /* before the first byte of an import moves */
-#define IMPORT_SLACK 2     /* an import may take so many times its estimate */
-#define IMPORT_FLOOR_MS 50 /* and always this long */
+#define MISSED_LISTINGS_MAX                                                   \
+  3 /* failed listings before a store counts as down */
+#define IMPORT_SETUP_US 2000   /* time before an import's first byte */
+#define IMPORT_LIMIT_FACTOR 2  /* time limit of an import, times its estimate \
+                                */
+#define IMPORT_LIMIT_MIN_MS 50 /* least time limit of an import */
 
 /* --- listings -------------------------------------------------------- */
 
 static void
-take_change (struct store *st, const struct store_change *c, int64_t now_us)
+apply_change (struct store *st, const struct store_change *c, int64_t now_us)
 {
   struct kvcache *k = st->kvcache;
 
@@ -28,23 +30,23 @@
     dir_remove (k->dir, c->digest, st->index, c->write_id);
 }
 
-/* Another life of the store, or changes that were missed: what was believed
-   of it is dropped, and its listing read from the start. */
+/* The store has a new incarnation, or this VM missed changes: its directory
+   entries are removed and its listing is read again from the start. */
 static bool
-must_start_over (const struct store *st, const struct store_listing *l)
+must_relist (const struct store *st, const struct store_listing *l)
 {
   return strcmp (st->incarnation, l->incarnation) != 0
          || l->first > st->next_change;
 }
 
 static void
-take_listing (struct store *st, const struct store_listing *l, int64_t now_us)
+apply_listing (struct store *st, const struct store_listing *l, int64_t now_us)
 {
   struct server *s = st->kvcache->server;
   int i;
 
   g_mutex_lock (&s->route_lock);
-  if (must_start_over (st, l))
+  if (must_relist (st, l))
     {
       dir_forget_store (st->kvcache->dir, st->index);
       g_strlcpy (st->incarnation, l->incarnation, sizeof st->incarnation);
@@ -55,7 +57,7 @@
   if (l->first <= st->next_change)
     {
       for (i = 0; i < l->nchanges; i++)
-        take_change (st, &l->changes[i], now_us);
+        apply_change (st, &l->changes[i], now_us);
       st->next_change = l->next;
     }
   st->used_bytes = l->used;
@@ -76,11 +78,11 @@
     {
       st->missed_listings = 0;
       st->is_up = true;
-      take_listing (st, l, now);
+      apply_listing (st, l, now);
       kvexport_evict (st, now);
       return;
     }
-  if (++st->missed_listings == LIST_TIMEOUT_MISSES)
+  if (++st->missed_listings == MISSED_LISTINGS_MAX)
     {
       st->is_up = false;
       log_event (LOG_LEVEL_WARNING, "store", "store=%s silent=1", st->cfg->id);
@@ -131,7 +133,7 @@
       sources[n].store = i;
       sources[n].tokens = (int64_t)depth * BLOCK_TOKENS;
       sources[n].wait_us = link_wait_us (&st->link, LINK_IMPORT, now_us);
-      sources[n].setup_us = SETUP_US;
+      sources[n].setup_us = IMPORT_SETUP_US;
       sources[n].tokens_s = st->link.bytes_s / token_bytes;
       n++;
     }
@@ -157,7 +159,7 @@
   link_begin (&st->link, LINK_IMPORT, import_bytes (j));
 }
 
-/* The import is over, or will not happen. */
+/* Ends the import when it has finished or will not take place. */
 void
 kvcache_import_end (struct job *j, int64_t cached_tokens)
 {
@@ -197,27 +199,28 @@
         json_array_append_new (names, json_string (name));
         return;
       }
-  /* Forgotten since the choice: an empty name ends the import there. */
+  /* Removed since the plan was chosen: an empty name ends the import there. */
   json_array_append_new (names, json_string (""));
 }
 
 /*
- * The order that goes with the request.  Its time limit is where recomputing
- * becomes cheaper: past it the engine computes, whatever the link does.
+ * Returns the import instruction that is sent with the request, or NULL.  Past
+ * its time limit recomputing is cheaper, so the engine then computes the rest
+ * even if the transfer has not finished.  The caller owns the result.
  */
 json_t *
 kvcache_import_order (struct job *j)
 {
   struct server *s = j->worker->server;
   int64_t to = j->choice.cached_tokens + j->choice.import_tokens;
-  int64_t limit_ms = j->choice.import_us * IMPORT_SLACK / 1000;
+  int64_t limit_ms = j->choice.import_us * IMPORT_LIMIT_FACTOR / 1000;
   json_t *names;
   int at;
 
   if (j->choice.store < 0)
     return NULL;
-  if (limit_ms < IMPORT_FLOOR_MS)
-    limit_ms = IMPORT_FLOOR_MS;
+  if (limit_ms < IMPORT_LIMIT_MIN_MS)
+    limit_ms = IMPORT_LIMIT_MIN_MS;
   names = json_array ();
   g_mutex_lock (&s->route_lock);
   for (at = DIR_SEGMENT_BLOCKS; (int64_t)at * BLOCK_TOKENS <= to;
@@ -257,7 +260,7 @@
   return list;
 }
 
-/* --- life ------------------------------------------------------------ */
+/* --- lifecycle ------------------------------------------------------- */
 
 struct kvcache *
 kvcache_new (struct server *s, struct cfg *cfg)
@@ -274,7 +277,7 @@
   return k;
 }
 
-/* Under route_lock: take in the stores of CFG. */
+/* Applies the stores of CFG.  The caller holds route_lock. */
 void
 kvcache_apply_cfg (struct kvcache *k, struct cfg *cfg)
 {
@@ -304,7 +307,7 @@
   loop_arm (w->loop, &k->timer, loop_now_us ());
 }
 
-/* Ask for no more listings. */
+/* Stops requesting listings. */
 void
 kvcache_stop (struct kvcache *k)
 {
--- a/libkept.h
+++ b/libkept.h
@@ -1,4 +1,7 @@
-/* Internal header of kept work on a VM: kept.c imports, export.c keeps. */
+/*
+ * Internal header of the KV cache stores as one VM sees them: kept.c follows
+ * their listings and imports segments, export.c exports and evicts them.
+ */
 #ifndef CQ_LIBKEPT_H
 #define CQ_LIBKEPT_H
 
@@ -7,38 +10,39 @@
 #define BLOCK_TOKENS (PFX_BLOCK_BYTES / WIRE_BYTES_PER_TOKEN)
 #define SEGMENT_TOKENS ((int64_t)DIR_SEGMENT_BLOCKS * BLOCK_TOKENS)
 
-/* A store as this VM knows it; guarded by route_lock but for the timing of
-   its listings, which belongs to the first worker's thread. */
+/* A store as this VM knows it.  Guarded by route_lock, except for the timing
+   of its listings, which belongs to the first worker's thread. */
 struct store
 {
-  struct kvcache *kvcache;     /* whose */
-  int index;                   /* place in the settings */
-  const struct cfg_store *cfg; /* declared */
-  struct link link;            /* its link */
-  bool is_up;                  /* its listings arrive */
-  char incarnation[40];        /* which life of it is known */
-  int64_t next_change;         /* number of the next change */
-  int64_t used_bytes;          /* bytes in use */
-  int64_t capacity_bytes;      /* bytes in all */
-  bool listing_pending;        /* a listing is under way */
-  int missed_listings;         /* listings missed in a row */
-  int64_t next_listing_us;     /* when to ask again */
+  struct kvcache *kvcache;     /* the module that owns it */
+  int index;                   /* index in the settings */
+  const struct cfg_store *cfg; /* its settings */
+  struct link link;            /* estimated load of its network link */
+  bool is_up;                  /* it answers requests for listings */
+  char incarnation[40];        /* incarnation that the directory describes */
+  int64_t next_change;         /* number of the next change to request */
+  int64_t used_bytes;          /* bytes in use, from the last listing */
+  int64_t capacity_bytes;      /* total bytes, from the last listing */
+  bool listing_pending;        /* a request for a listing has no reply yet */
+  int missed_listings;         /* consecutive requests that failed */
+  int64_t next_listing_us;     /* when to request the next listing */
 };
 
+/* The stores, what they hold and which prompts return. */
 struct kvcache
 {
-  struct server *server;     /* whose */
-  struct worker *worker;     /* whose thread asks for listings */
-  struct loop_timer timer;   /* next look */
-  struct store *stores;      /* by place in the settings */
-  int nstores;               /* their number */
-  struct dir *dir;           /* what they hold */
-  struct dir *seen_prompts;  /* last segments of prompts seen lately */
-  struct keep *return_stats; /* by workspace */
-  int64_t *exported_bytes;   /* bytes this VM kept, by workspace */
+  struct server *server;     /* the server that owns it */
+  struct worker *worker;     /* its thread requests the listings */
+  struct loop_timer timer;   /* next check for listings that are due */
+  struct store *stores;      /* by index in the settings */
+  int nstores;               /* number of stores in the settings */
+  struct dir *dir;           /* segments that the stores hold */
+  struct dir *seen_prompts;  /* last segments of recent prompts */
+  struct keep *return_stats; /* how often prompts return, by workspace */
+  int64_t *exported_bytes;   /* bytes that this VM exported, by workspace */
 };
 
-/* Drop what is worth least from a store that is nearly full. */
+/* Deletes the least recently used segments of a store that is nearly full. */
 void kvexport_evict (struct store *st, int64_t now_us);
 
 #endif
--- a/storec.c
+++ b/storec.c
@@ -1,5 +1,5 @@
 /*
- * Stores of kept KV cache over HTTP.
+ * HTTP client of the KV cache stores.
  *
  *   GET /list?since=N   {"incarnation":I,"first":F,"next":M,"used":B,
  *                        "capacity":B,"changes":["+NAME","-NAME",...]}
@@ -12,32 +12,34 @@
 
 #include "fetch.h"
 
-/* For a listing to begin: the store gathers it first.  A silent store counts
-   as down after three of these. */
-#define FIRST_MS 2000
+/* Timeout for the first byte of a listing, which the store has to collect
+   first. A store counts as down after three consecutive failures. */
+#define LISTING_FIRST_BYTE_MS 2000
 /*
- * Without a further byte of a listing that has begun: three packets in a row
- * may be lost, which come again after 200, 400 and 800 ms.  A try that is
- * given up costs the whole listing, and a listing is a hint that nobody waits
- * for, so this is four times what the platform's calls have.
+ * Timeout between two reads of a listing.  It tolerates three consecutive
+ * packet losses, retransmitted after 200, 400 and 800 ms.  An aborted attempt
+ * loses the whole listing, and no request waits for a listing, so this is four
+ * times the timeout of calls to the platform.
  */
-#define STALL_MS 2000
-/* Taken of a listing: 450,000 changes of 37 bytes. */
+#define LISTING_STALL_MS 2000
+/* Limit on the size of a listing: 450,000 changes of 37 bytes. */
 #define LISTING_MAX_BYTES INT64_C (16777216)
-/* The smallest VMs' link, 10 Mbit/s, of which requests may take half. */
+/* The slowest link of a VM, 10 Mbit/s, half of which requests may use. */
 #define LINK_MIN_BYTES_S (INT64_C (10) * 1000 * 1000 / 8 / 2)
 /*
- * For all of a listing once it began: 27 s.  Each try begins with the first
- * change, so a limit that a large listing meets once it meets always, and a VM
- * that starts would never learn what the store holds.
+ * Timeout for a whole listing after its first byte: 27 s.  Each attempt begins
+ * with the first change, so a large listing that exceeds the limit once would
+ * always exceed it, and a VM that starts would never learn what the store
+ * holds.
  */
-#define WHOLE_MS (LISTING_MAX_BYTES * 1000 / LINK_MIN_BYTES_S)
-#define DROP_MS 2000 /* a store answers within some ms */
+#define LISTING_TOTAL_MS (LISTING_MAX_BYTES * 1000 / LINK_MIN_BYTES_S)
+#define DELETE_TIMEOUT_MS                                                     \
+  2000 /* a store normally replies within milliseconds */
 
-/* A listing under way. */
+/* A request for a listing. */
 struct list_call
 {
-  listing_done done; /* whom to tell */
+  listing_done done; /* called with the result */
   void *arg;         /* passed to done */
 };
 
@@ -91,17 +93,18 @@
 read_listing (const GString *body, struct store_listing *l)
 {
   json_t *doc = json_loadb (body->str, body->len, 0, NULL);
-  const char *life = json_string_value (json_object_get (doc, "incarnation"));
+  const char *incarnation
+      = json_string_value (json_object_get (doc, "incarnation"));
 
-  if (life != NULL)
-    g_strlcpy (l->incarnation, life, sizeof l->incarnation);
+  if (incarnation != NULL)
+    g_strlcpy (l->incarnation, incarnation, sizeof l->incarnation);
   l->first = int_field (doc, "first");
   l->next = int_field (doc, "next");
   l->used = int_field (doc, "used");
   l->capacity = int_field (doc, "capacity");
   read_changes (json_object_get (doc, "changes"), l);
   json_decref (doc);
-  return life != NULL;
+  return incarnation != NULL;
 }
 
 static void
@@ -127,22 +130,24 @@
 
   c->done = done;
   c->arg = arg;
-  o.first_ms = FIRST_MS;
-  o.stall_ms = STALL_MS;
-  o.timeout_ms = FIRST_MS + WHOLE_MS;
+  o.first_ms = LISTING_FIRST_BYTE_MS;
+  o.stall_ms = LISTING_STALL_MS;
+  o.timeout_ms = LISTING_FIRST_BYTE_MS + LISTING_TOTAL_MS;
   o.reply_max = LISTING_MAX_BYTES;
   o.done = on_list;
   o.arg = c;
   fetch_start (ctx, &o);
 }
 
-/* A segment that was not deleted stands in the next whole listing. */
+/* The reply is ignored: a segment that was not deleted appears again in the
+   next full listing. */
 static void
 drop (void *ctx, const char *address, uint64_t digest, uint64_t write_id)
 {
   char name[SEGMENT_NAME_SIZE];
   g_autofree char *url = NULL;
-  struct fetch_opts o = { .method = "DELETE", .timeout_ms = DROP_MS };
+  struct fetch_opts o
+      = { .method = "DELETE", .timeout_ms = DELETE_TIMEOUT_MS };
 
   segment_name (digest, write_id, name);
   url = g_strdup_printf ("http://%s/segments/%s", address, name);
