--- a/adopt.c
+++ b/adopt.c
@@ -1,12 +1,13 @@
 /*
- * Settings in force: tables filled from them, the first time and after each
- * change.
+ * Applies settings: fills the server's tables from them, at the start and
+ * after each change.
  *
- * A group keeps its place for the life of the process; a removed one stays,
- * marked.  So an index, or a pointer into the tables, never changes its
- * meaning.  Jobs hold a reference to the settings they started under; other
- * code uses the present ones only until it returns to its loop, and the old
- * ones are freed long after that.
+ * A group of settings keeps its index for the lifetime of the process, and a
+ * removed group stays in the tables, marked as removed.  So an index or a
+ * pointer into the tables always refers to the same group.  Jobs hold a
+ * reference to the settings that they started under.  Other code uses the
+ * current settings only until it returns to its loop; replaced settings are
+ * freed long after that.
  */
 #include "libserver.h"
 
@@ -14,13 +15,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUANTUM_TOKENS 2048 /* cost a workspace may spend in one turn */
-#define OLD_CFG_US (10 * CQ_US_PER_S)
+#define QUANTUM_TOKENS 2048 /* cost that a workspace may spend per round */
+#define RETIRED_CFG_KEEP_US (10 * CQ_US_PER_S)
 
 /* --- services and workspaces --- */
 
 static void
-set_refusals (struct service *v)
+set_refusal_statuses (struct service *v)
 {
   g_auto (GStrv) words = g_strsplit_set (v->cfg->refusal_status, " ", -1);
   int i;
@@ -46,7 +47,7 @@
     }
   v->queue.queue_max = (int)c->queue_max;
   v->queue.reserve = (int)c->urgent_reserve;
-  set_refusals (v);
+  set_refusal_statuses (v);
 }
 
 static void
@@ -92,7 +93,7 @@
   pfx_capacity (s->prefixes, i, c->cache_tokens);
 }
 
-/* --- all --- */
+/* --- all tables --- */
 
 static uint64_t
 make_seed (const struct cfg_vm *vm)
@@ -105,7 +106,7 @@
 }
 
 static void
-make_tables (struct server *s, struct cfg *cfg)
+create_tables (struct server *s, struct cfg *cfg)
 {
   const struct cfg_vm *vm = cfg_vm (cfg);
 
@@ -122,7 +123,7 @@
 }
 
 static bool
-fits (const struct server *s, const struct cfg *cfg)
+fits_tables (const struct server *s, const struct cfg *cfg)
 {
   return cfg_count (cfg, CFG_SERVICE) <= s->max_services
          && cfg_count (cfg, CFG_WORKSPACE) <= s->max_workspaces
@@ -149,7 +150,7 @@
 }
 
 static void
-free_retired (void *arg, int64_t now_us)
+free_oldest_retired (void *arg, int64_t now_us)
 {
   struct server *s = arg;
   struct cfg *old = s->retired->data;
@@ -157,18 +158,20 @@
   s->retired = g_list_delete_link (s->retired, s->retired);
   cfg_free (old);
   if (s->retired != NULL)
-    loop_arm (s->workers[0].loop, &s->old_timer, now_us + OLD_CFG_US);
+    loop_arm (s->workers[0].loop, &s->old_timer, now_us + RETIRED_CFG_KEEP_US);
 }
 
-/* Freed one after another, each long after it was replaced. */
+/* Queues replaced settings, which are freed one after another, each at least
+   RETIRED_CFG_KEEP_US after it was replaced. */
 static void
-retire (struct server *s, struct cfg *old)
+retire_cfg (struct server *s, struct cfg *old)
 {
   s->retired = g_list_append (s->retired, old);
-  s->old_timer.fire = free_retired;
+  s->old_timer.fire = free_oldest_retired;
   s->old_timer.arg = s;
   if (!s->old_timer.armed)
-    loop_arm (s->workers[0].loop, &s->old_timer, loop_now_us () + OLD_CFG_US);
+    loop_arm (s->workers[0].loop, &s->old_timer,
+              loop_now_us () + RETIRED_CFG_KEEP_US);
 }
 
 bool
@@ -177,8 +180,8 @@
   struct cfg *old;
 
   if (s->routes == NULL)
-    make_tables (s, cfg);
-  else if (!fits (s, cfg))
+    create_tables (s, cfg);
+  else if (!fits_tables (s, cfg))
     return false;
   fill_tables (s, cfg);
   __atomic_store_n (&s->body_bytes_max,
@@ -186,7 +189,7 @@
                     __ATOMIC_RELAXED);
   old = __atomic_exchange_n (&s->cfg, cfg, __ATOMIC_ACQ_REL);
   if (old != NULL && old != cfg)
-    retire (s, old);
+    retire_cfg (s, old);
   return true;
 }
 
--- a/export.c
+++ b/export.c
@@ -1,44 +1,48 @@
 /*
- * Keeping work: after an answer, the segments of its prompt that are worth
- * their bytes are exported to a store, as far as its link has time that no
- * caller waits for; a store that is nearly full loses what is worth least.
+ * Exports of KV cache: after a request completes, the segments of its prompt
+ * that are worth their bytes are exported to a store, as far as its link has
+ * capacity that no import needs.  The least recently used segments of a store
+ * that is nearly full are deleted.
  */
 #include "libkept.h"
 
 #include <sodium.h>
 #include <string.h>
 
-#define EXPORT_BUDGET_US (2 * CQ_US_PER_S) /* link time that may be queued */
-#define FULL_PERCENT 95                    /* from here on room is made */
-#define ROOM_PERCENT 2                     /* so much at a time */
-#define LOOK_AT 1024UL /* entries looked at for one in a store */
-#define ORDER_MAX_BYTES 65536
+#define EXPORT_QUEUE_MAX_US                                                   \
+  (2 * CQ_US_PER_S)            /* longest queue of exports, as link time */
+#define EVICT_ABOVE_PERCENT 95 /* used capacity at which eviction starts */
+#define EVICT_PERCENT 2        /* capacity evicted at a time */
+#define EVICT_SCAN_ENTRIES                                                    \
+  1024UL /* directory entries scanned for one in a store */
+#define EXPORT_REPLY_MAX_BYTES 65536
 
-/* An export order under way. */
-struct order
+/* An export request that has no reply yet. */
+struct export_call
 {
-  struct server *server; /* whose */
-  int store;             /* target */
-  int endpoint;          /* that exports */
-  int workspace;         /* whose work */
-  int n;                 /* segments */
-  uint64_t *digests;     /* of each */
-  uint64_t *write_ids;   /* of each */
-  int64_t bytes;         /* of all */
+  struct server *server; /* the server that owns it */
+  int store;             /* index of the target store */
+  int endpoint;          /* index of the endpoint that exports */
+  int workspace;         /* index of the workspace that owns the segments */
+  int n;                 /* number of segments */
+  uint64_t *digests;     /* digest of each segment */
+  uint64_t *write_ids;   /* write id of each segment */
+  int64_t bytes;         /* bytes of all segments */
   int64_t sent_us;       /* when it was sent */
-  char *body;            /* as sent */
-  GString *reply;        /* as received */
-  char id[ID_SIZE];      /* request that made the work */
+  char *body;            /* body of the request */
+  GString *reply;        /* body of the reply */
+  char id[ID_SIZE];      /* id of the request that computed them */
 };
 
-/* --- learning -------------------------------------------------------- */
+/* --- return statistics ----------------------------------------------- */
 
 /*
- * The gap since the prompt, or the one it continues, was last here: the
- * deepest of its segments that once ended a prompt tells.
+ * Records the interval since this prompt, or the prompt that it continues, was
+ * last seen.  That is the last use of its deepest segment that was the last
+ * one of an earlier prompt.
  */
 static void
-learn_return (struct kvcache *k, struct job *j, int64_t now_us)
+record_return (struct kvcache *k, struct job *j, int64_t now_us)
 {
   struct keep *keep = &k->return_stats[j->workspace->index];
   int last = j->ndigests / DIR_SEGMENT_BLOCKS * DIR_SEGMENT_BLOCKS;
@@ -65,7 +69,8 @@
 }
 
 static bool
-worth_keeping (struct kvcache *k, const struct job *j, const struct store *st)
+is_worth_storing (struct kvcache *k, const struct job *j,
+                  const struct store *st)
 {
   struct keep_in in = { .tokens = SEGMENT_TOKENS };
 
@@ -78,10 +83,10 @@
   return keep_worth (&k->return_stats[j->workspace->index], &in) > 0;
 }
 
-/* The whole prompt goes to one store: by its first segment, so that all VMs
-   choose alike. */
+/* All segments of a prompt go to one store.  Its first segment determines the
+   store, so that all VMs choose the same one. */
 static struct store *
-home_store (struct kvcache *k, const struct job *j)
+choose_store (struct kvcache *k, const struct job *j)
 {
   uint64_t start = j->digests[DIR_SEGMENT_BLOCKS - 1];
   struct store *st;
@@ -97,7 +102,7 @@
 }
 
 static bool
-stored (struct kvcache *k, uint64_t digest, int store)
+is_stored (struct kvcache *k, uint64_t digest, int store)
 {
   const struct dir_entry *e = dir_find (k->dir, digest);
   int c;
@@ -108,19 +113,20 @@
   return false;
 }
 
-/* Segments worth exporting, under route_lock; their bytes are queued. */
+/* Adds the segments that are not stored yet and queues their bytes on the
+   link. The caller holds route_lock. */
 static void
-collect (struct kvcache *k, struct job *j, struct store *st, struct order *o,
-         int64_t now_us)
+add_segments (struct kvcache *k, struct job *j, struct store *st,
+              struct export_call *o, int64_t now_us)
 {
   int64_t bytes = segment_bytes (j);
   int at;
 
   for (at = DIR_SEGMENT_BLOCKS; at <= j->ndigests; at += DIR_SEGMENT_BLOCKS)
     {
-      if (stored (k, j->digests[at - 1], st->index))
+      if (is_stored (k, j->digests[at - 1], st->index))
         continue;
-      if (!link_admit (&st->link, LINK_EXPORT, bytes, EXPORT_BUDGET_US,
+      if (!link_admit (&st->link, LINK_EXPORT, bytes, EXPORT_QUEUE_MAX_US,
                        now_us))
         return;
       link_begin (&st->link, LINK_EXPORT, bytes);
@@ -132,7 +138,7 @@
 }
 
 static void
-order_free (struct order *o)
+export_call_free (struct export_call *o)
 {
   if (o->reply != NULL)
     g_string_free (o->reply, TRUE);
@@ -143,20 +149,20 @@
 }
 
 static enum xfer_take
-take_reply (void *arg, int status, const char *data, size_t len)
+append_reply (void *arg, int status, const char *data, size_t len)
 {
-  struct order *o = arg;
+  struct export_call *o = arg;
 
   (void)status;
-  if (o->reply->len + len > ORDER_MAX_BYTES)
+  if (o->reply->len + len > EXPORT_REPLY_MAX_BYTES)
     return XFER_STOP;
   g_string_append_len (o->reply, data, (gssize)len);
   return XFER_TAKEN;
 }
 
-/* Segments that the engine says were sealed, from the first one on. */
+/* Number of leading segments that the engine reports as sealed (complete). */
 static int
-sealed_count (const struct order *o, const struct xfer_end *end,
+sealed_count (const struct export_call *o, const struct xfer_end *end,
               int64_t *moving_us)
 {
   json_t *doc = json_loadb (o->reply->str, o->reply->len, 0, NULL);
@@ -174,7 +180,7 @@
 static void
 on_exported (void *arg, const struct xfer_end *end)
 {
-  struct order *o = arg;
+  struct export_call *o = arg;
   struct server *s = o->server;
   struct kvcache *k = s->kvcache;
   struct store *st = &k->stores[o->store];
@@ -194,11 +200,12 @@
              "took_us=%" G_GINT64_FORMAT,
              o->id, cfg_endpoint (server_cfg (s), o->endpoint)->id,
              st->cfg->id, o->n, n, end->status, (gint64)(now - o->sent_us));
-  order_free (o);
+  export_call_free (o);
 }
 
 static char *
-order_text (const struct order *o, const struct job *j, const struct store *st)
+export_body (const struct export_call *o, const struct job *j,
+             const struct store *st)
 {
   json_t *list = json_array ();
   json_t *doc;
@@ -222,16 +229,16 @@
 }
 
 static void
-send_order (struct job *j, struct order *o, const struct store *st)
+send_export (struct job *j, struct export_call *o, const struct store *st)
 {
   static const struct xfer_events events
-      = { .on_body = take_reply, .on_end = on_exported };
+      = { .on_body = append_reply, .on_end = on_exported };
   static const char *const headers[]
       = { "Content-Type: application/json", NULL };
   struct endpoint_ops *ops = &j->worker->endpoints;
   struct call_opts c = { .path = "/kv/export", .may_repeat = true };
 
-  o->body = order_text (o, j, st);
+  o->body = export_body (o, j, st);
   o->reply = g_string_new (NULL);
   o->sent_us = loop_now_us ();
   c.address = cfg_endpoint (server_cfg (o->server), o->endpoint)->address;
@@ -242,11 +249,11 @@
 }
 
 static void
-keep_work (struct job *j, int64_t now_us)
+export_prompt (struct job *j, int64_t now_us)
 {
   struct server *s = j->worker->server;
   struct kvcache *k = s->kvcache;
-  struct order *o = g_new0 (struct order, 1);
+  struct export_call *o = g_new0 (struct export_call, 1);
   struct store *st;
 
   o->server = s;
@@ -256,21 +263,21 @@
   o->digests = g_new0 (uint64_t, j->ndigests);
   o->write_ids = g_new0 (uint64_t, j->ndigests);
   g_mutex_lock (&s->route_lock);
-  st = home_store (k, j);
-  if (st != NULL && worth_keeping (k, j, st))
+  st = choose_store (k, j);
+  if (st != NULL && is_worth_storing (k, j, st))
     {
       o->store = st->index;
-      collect (k, j, st, o, now_us);
+      add_segments (k, j, st, o, now_us);
     }
   g_mutex_unlock (&s->route_lock);
   if (st != NULL && o->n > 0)
-    send_order (j, o, st);
+    send_export (j, o, st);
   else
-    order_free (o);
+    export_call_free (o);
 }
 
 static void
-note_cached (struct job *j)
+record_cached_tokens (struct job *j)
 {
   struct server *s = j->worker->server;
 
@@ -279,7 +286,7 @@
   g_mutex_lock (&s->route_lock);
   pfx_counted (s->prefixes, j->digests, j->ndigests, j->choice.endpoint,
                (int)(j->cached_tokens / BLOCK_TOKENS));
-  /* It has computed the whole prompt by now. */
+  /* The endpoint has computed the whole prompt by now. */
   pfx_learn (s->prefixes, j->digests, j->ndigests, j->choice.endpoint);
   g_mutex_unlock (&s->route_lock);
 }
@@ -290,30 +297,32 @@
   struct server *s = j->worker->server;
   int64_t now = loop_now_us ();
 
-  note_cached (j);
+  record_cached_tokens (j);
   g_mutex_lock (&s->route_lock);
-  learn_return (s->kvcache, j, now);
+  record_return (s->kvcache, j, now);
   g_mutex_unlock (&s->route_lock);
   if (j->sc->kv_token_bytes > 0 && s->kvcache->nstores > 0
       && j->ndigests >= DIR_SEGMENT_BLOCKS)
-    keep_work (j, now);
+    export_prompt (j, now);
 }
 
-/* --- making room ----------------------------------------------------- */
+/* --- eviction -------------------------------------------------------- */
 
 /*
- * Least worth among the oldest of a store's segments.  Without knowing whose
- * they are (another VM's exports), age decides; all VMs see the same listing
- * and so drop much the same, which wastes nothing but a repeated delete.
+ * Returns the least recently used segment of the store.  The workspaces of
+ * segments that another VM exported are unknown, so only age decides.  All VMs
+ * see the same listing and therefore delete much the same segments, which
+ * costs no more than repeated deletes.
  */
 static struct dir_entry *
-oldest_in (struct kvcache *k, int store)
+oldest_in_store (struct kvcache *k, int store)
 {
   struct dir_entry *e;
   size_t i;
   int c;
 
-  for (i = 0; (e = dir_oldest (k->dir, i)) != NULL && i < LOOK_AT; i++)
+  for (i = 0; (e = dir_oldest (k->dir, i)) != NULL && i < EVICT_SCAN_ENTRIES;
+       i++)
     for (c = 0; c < DIR_COPIES; c++)
       if (e->copies[c].store == store)
         return e;
@@ -321,7 +330,7 @@
 }
 
 static uint64_t
-write_id_in (const struct dir_entry *e, int store)
+write_id_in_store (const struct dir_entry *e, int store)
 {
   int c;
 
@@ -331,9 +340,10 @@
   return 0;
 }
 
-/* Forget the name first: nobody starts to read it while it is deleted. */
+/* Removes the name from the directory first, so that no import of the segment
+   starts while it is deleted. */
 static bool
-drop_one (struct store *st)
+evict_segment (struct store *st)
 {
   struct kvcache *k = st->kvcache;
   struct store_ops *ops = &k->worker->stores;
@@ -342,11 +352,11 @@
   uint64_t write_id = 0;
 
   g_mutex_lock (&k->server->route_lock);
-  e = oldest_in (k, st->index);
+  e = oldest_in_store (k, st->index);
   if (e != NULL)
     {
       digest = e->digest;
-      write_id = write_id_in (e, st->index);
+      write_id = write_id_in_store (e, st->index);
       dir_remove (k->dir, digest, st->index, write_id);
     }
   g_mutex_unlock (&k->server->route_lock);
@@ -364,14 +374,14 @@
 
   (void)now_us;
   if (st->capacity_bytes == 0
-      || st->used_bytes * 100 < st->capacity_bytes * FULL_PERCENT)
+      || st->used_bytes * 100 < st->capacity_bytes * EVICT_ABOVE_PERCENT)
     return;
   n = (int)dir_count (st->kvcache->dir);
   each = n > 0 ? st->used_bytes / n : 0;
   if (each == 0)
     return;
-  n = (int)(st->capacity_bytes * ROOM_PERCENT / 100 / each) + 1;
-  while (dropped < n && drop_one (st))
+  n = (int)(st->capacity_bytes * EVICT_PERCENT / 100 / each) + 1;
+  while (dropped < n && evict_segment (st))
     dropped++;
   log_event (LOG_LEVEL_INFO, "make_room", "store=%s dropped=%d", st->cfg->id,
              dropped);
