--- a/regress/kept.sh
+++ b/regress/kept.sh
@@ -1,6 +1,6 @@
-# A prompt returns after the engine has evicted it.  Its work comes back from
-# the store instead of being computed again; and whatever is wrong with what
-# the store gives, the answer is the same, computed by the engine.
+# A prompt returns after the engine has evicted its KV cache.  The cache is
+# imported from the store instead of being recomputed.  If the stored segments
+# are damaged or missing, the engine computes them and the answer is the same.
 . ./lib.sh || exit 1
 usual_base e1
 add_store s1
@@ -11,7 +11,8 @@
 ask() { post a ws /v1/completions "$(prompt "$(long "$1")" 3 true)" >/dev/null; }
 evict() { for i in 1 2 3; do ask "other$1$i"; done; }
 exported() { [ "$(grep -c "event=export .*sealed=4" "$tmp/a.log")" -ge "$1" ]; }
-# again NAME: ask for it once more after an eviction; what was imported.
+# again NAME PROMPT: repeats the prompt after an eviction and prints what was
+# imported.
 again() {
 	evict "$1"
 	before=$(stat e1 imported) bad=$(stat e1 rejected)
@@ -30,7 +31,7 @@
 control s1 '{"truncate":1}'
 again "half of the bytes" first
 
-# An export dies half way: what it left is never listed and never read.
+# An export stops halfway: the incomplete segment is never listed and never read.
 control e1 '{"half_exports":1}'
 ask halved
 whole=$(texts)
@@ -42,7 +43,7 @@
 wait_for has_line "$tmp/a.log" 'event=export .*sealed=4'
 again "wrong seal" misfit
 
-# The store dies, and comes back empty under another incarnation.
+# The store crashes and restarts empty, with a new incarnation.
 ask lost
 whole=$(texts)
 wait_for has_line "$tmp/a.log" 'event=export .*sealed=4'
--- a/regress/keptfull.sh
+++ b/regress/keptfull.sh
@@ -1,12 +1,12 @@
-# A store that fills up makes room by dropping what was unused longest; a link
-# that slows to a tenth is learned, and prompts are computed instead of waiting
-# for it.
+# When a store fills up, the least recently used segments are deleted.  When its
+# link slows to a tenth, the VM measures the lower rate, and prompts are computed
+# instead of waiting for the import.
 . ./lib.sh || exit 1
 usual_base e1
 add_store s1
 sed -i 's/^address = .*'"$port_e1"'/&\ncache_tokens = 4096\nprefill_tokens_s = 8000/' "$tmp/base.ini"
 control e1 '{"cache_tokens":4096,"prefill_tokens_s":8000}'
-# Room for ten prompts of four segments.
+# Capacity for ten prompts of four segments each.
 control s1 '{"capacity":2100000}'
 start_vm a
 ask() { post a ws /v1/completions "$(prompt "$(long "$1")" 2 true)" >/dev/null; }
@@ -26,8 +26,8 @@
 ask p1
 echo "dropped: imported $(($(stat e1 imported) - before)), $(finished)"
 
-# 51 KB a segment at 20 KB a second: ten seconds for what takes a quarter of
-# one to compute.
+# A segment of 51 KB at 20 KB/s: the import of a prompt takes ten seconds,
+# computing it a quarter of a second.
 control s1 '{"link_bytes_s":20000}'
 for i in 10 12 9 14; do ask "p$i"; done
 slow=$(field a finish first_us | tail -1)
--- a/regress/keptscope.sh
+++ b/regress/keptscope.sh
@@ -1,6 +1,6 @@
-# What must never be shared: the work of two workspaces, and of two weight
-# versions.  Equal prompts are sent by both workspaces, then the weights change
-# while the store still lists the old version's work; nobody gets it.
+# KV cache must never be shared between workspaces or between weight versions.
+# Both workspaces send equal prompts; then the weights change while the store
+# still lists segments of the old version, which must not be imported.
 . ./lib.sh || exit 1
 usual_base e1
 make_key other
@@ -20,13 +20,13 @@
 wait_for sealed a 2
 echo "segments of both in the store: $(stat s1 segments)"
 
-# New weights: the engine's memory is gone, the store still has the old work.
+# New weights: the engine's cache is empty, the store still has old segments.
 printf '[service model]\nversion = v2\n' >"$tmp/b.ini"
 control e1 '{"version":"v2"}'
 start_vm b
 before=$(stat e1 imported)
 echo "ws under v2: $(ask b ws) cached, $(($(stat e1 imported) - before)) imported"
 grep -c 'fingerprint":"v2"' "$tmp/body"
-# The old VM still asks for v1, which nobody serves any more: a true refusal.
+# VM a still requests v1, which no endpoint serves any more: it must refuse.
 wait_for has_line "$tmp/a.log" 'endpoint=e1 version=v2'
 echo "v1 wanted: $(post a ws /v1/completions "$(prompt "$(long x)" 3 true)") $(outcome) $(code)"
