--- a/decide.h
+++ b/decide.h
@@ -18,7 +18,7 @@
 
 #include <apr_ring.h>
 
-#include "kept.h"
+#include "kvdecide.h"
 
 #define CQ_US_PER_MS INT64_C (1000)
 #define CQ_US_PER_S INT64_C (1000000)
--- a/dir.c
+++ b/dir.c
@@ -3,7 +3,7 @@
  * are the truth, and an import checks what it gets, so a wrong entry costs
  * time and never a wrong answer.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #include <glib.h>
 
--- a/keep.c
+++ b/keep.c
@@ -3,7 +3,7 @@
  * return, for each byte; the chance is learned for each workspace from the
  * gaps after which its prompts returned.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define PPM INT64_C (1000000)
--- a/kept.c
+++ b/kvcache.c
@@ -6,7 +6,7 @@
  * length and digest of each segment that it imports, and computes what it
  * cannot use.
  */
-#include "libkept.h"
+#include "libkvcache.h"
 
 #include <string.h>
 
--- a/kept.h
+++ b/kvdecide.h
@@ -3,8 +3,8 @@
  * which segment, what a transfer costs and which segments are worth storing.
  * The functions have no side effects beyond their arguments, as in decide.h.
  */
-#ifndef CQ_KEPT_H
-#define CQ_KEPT_H
+#ifndef CQ_KVDECIDE_H
+#define CQ_KVDECIDE_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/export.c
+++ b/kvexport.c
@@ -4,7 +4,7 @@
  * capacity that no import needs.  The least recently used segments of a store
  * that is nearly full are deleted.
  */
-#include "libkept.h"
+#include "libkvcache.h"
 
 #include <sodium.h>
 #include <string.h>
--- a/libkept.h
+++ b/libkvcache.h
@@ -1,9 +1,9 @@
 /*
- * Internal header of the KV cache stores as one VM sees them: kept.c follows
- * their listings and imports segments, export.c exports and evicts them.
+ * Internal header of the KV cache stores as one VM sees them: kvcache.c follows
+ * their listings and imports segments, kvexport.c exports and evicts them.
  */
-#ifndef CQ_LIBKEPT_H
-#define CQ_LIBKEPT_H
+#ifndef CQ_LIBKVCACHE_H
+#define CQ_LIBKVCACHE_H
 
 #include "libserver.h"
 
--- a/libserver.h
+++ b/libserver.h
@@ -90,7 +90,7 @@
 
 struct server
 {
-  struct cfg *cfg;             /* settings in force; atomic, see adopt.c */
+  struct cfg *cfg;             /* settings in force; atomic, see applycfg.c */
   GList *retired;              /* settings before, freed after a while */
   struct loop_timer old_timer; /* when */
   const char *files[SETTINGS_FILES]; /* base and overlay */
@@ -546,7 +546,7 @@
 /* A request's record as JSON, or NULL; WORKSPACE -1 finds any. */
 json_t *history_get (struct history *h, const char *id, int workspace);
 
-/* --- kept work (kept.c, export.c) ------------------------------------ */
+/* --- KV cache stores (kvcache.c, kvexport.c) --------------------------- */
 
 struct kvcache *kvcache_new (struct server *s, struct cfg *cfg);
 void kvcache_apply_cfg (struct kvcache *k, struct cfg *cfg);
--- a/link.c
+++ b/link.c
@@ -1,5 +1,5 @@
 /* The limited link of a store: who may use it, and how long that takes. */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define SMOOTHING 4       /* weight of the past in the rate */
--- a/plan.c
+++ b/plan.c
@@ -6,7 +6,7 @@
  * tokens, with one corner where the import ends just when the endpoint's
  * queue does; so the least is at no import, at that corner, or at all.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define MARGIN_PERCENT 10 /* least saving of an import */
