--- a/kvdecide.h
+++ b/kvdecide.h
@@ -76,7 +76,7 @@
   int64_t bytes_s; /* smoothed throughput while it is busy */
   int64_t grain;   /* bytes of one segment */
   int64_t queued_bytes[LINK_CLASSES]; /* requested, not yet transferred */
-  int64_t done_bytes[LINK_CLASSES];   /* transferred, for metrics */
+  int64_t done_bytes[LINK_CLASSES];   /* transferred, for measurements */
   int64_t others_wait_us;    /* smoothed wait behind other VMs' transfers */
   int64_t others_wait_at_us; /* time of the last sample */
 };
@@ -127,8 +127,7 @@
 struct plan
 {
   int store;                 /* source of the import, -1 for none */
-  int64_t import_end_tokens; /* leading tokens in the endpoint's cache
-                                afterwards */
+  int64_t import_end_tokens; /* leading tokens cached after the import */
   int64_t import_us;         /* time for wait and transfer */
   int64_t compute_us;        /* time to compute the rest of the prompt */
   int64_t first_us;          /* expected time to first token */
--- a/libkvcache.h
+++ b/libkvcache.h
@@ -1,6 +1,7 @@
 /*
- * Internal header of the KV cache stores as one VM sees them: kvcache.c follows
- * their listings and imports segments, kvexport.c exports and evicts them.
+ * Internal header of the KV cache stores as one VM sees them: kvcache.c
+ * follows their listings and imports segments, kvexport.c exports and evicts
+ * them.
  */
 #ifndef CQ_LIBKVCACHE_H
 #define CQ_LIBKVCACHE_H
--- a/storeclient.c
+++ b/storeclient.c
@@ -13,13 +13,13 @@
 #include "fetch.h"
 
 /* Timeout for the first byte of a listing, which the store has to collect
-   first. A store counts as down after three consecutive failures. */
+   first.  A store counts as down after three consecutive failures. */
 #define LISTING_FIRST_BYTE_MS 2000
 /*
- * Timeout between two reads of a listing.  It tolerates three consecutive
- * packet losses, retransmitted after 200, 400 and 800 ms.  An aborted attempt
- * loses the whole listing, and no request waits for a listing, so this is four
- * times the timeout of calls to the platform.
+ * Timeout for the next byte of a listing that has begun.  It tolerates three
+ * consecutive packet losses, retransmitted after 200, 400 and 800 ms.  An
+ * aborted attempt loses the whole listing, and no request waits for a listing,
+ * so this is four times the timeout of calls to the platform.
  */
 #define LISTING_STALL_MS 2000
 /* Limit on the size of a listing: 450,000 changes of 37 bytes. */
