--- a/kvcache.c
+++ b/kvcache.c
@@ -10,11 +10,10 @@
 
 #include <string.h>
 
-#define MISSED_LISTINGS_MAX                                                   \
-  3 /* failed listings before a store counts as down */
+/* Failed listings in a row before a store counts as down. */
+#define MISSED_LISTINGS_MAX 3
 #define IMPORT_SETUP_US 2000   /* time before an import's first byte */
-#define IMPORT_LIMIT_FACTOR 2  /* time limit of an import, times its estimate \
-                                */
+#define IMPORT_LIMIT_FACTOR 2  /* time limit of an import / its estimate */
 #define IMPORT_LIMIT_MIN_MS 50 /* least time limit of an import */
 
 /* --- listings -------------------------------------------------------- */
--- a/libserver.h
+++ b/libserver.h
@@ -117,7 +117,7 @@
   struct pfx *prefixes;         /* who holds which prompt prefix */
   struct history *history;      /* finished requests */
   struct claims *claims;        /* NULL without a table */
-  struct kvcache *kvcache;      /* kept work; guarded by route_lock */
+  struct kvcache *kvcache;      /* guarded by route_lock */
   struct entry *entry;          /* requests that are passed on, or NULL */
   struct poller *poller;        /* asks endpoints for load reports */
   int64_t started_us;           /* when the process started */
