--- a/link.c
+++ b/link.c
@@ -1,5 +1,5 @@
 /* Link of a store: admission and expected time of its transfers. */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define SMOOTHING 4             /* divisor of the EWMA of the rate */
@@ -20,11 +20,11 @@
 static int64_t
 wait_for_others (const struct link *l, int64_t now_us)
 {
-  int64_t halvings = (now_us - l->others_at_us) / OTHERS_HALF_LIFE_US;
+  int64_t halvings = (now_us - l->others_wait_at_us) / OTHERS_HALF_LIFE_US;
 
   if (halvings > OTHERS_MAX_HALVINGS)
     return 0;
-  return l->others_us >> halvings;
+  return l->others_wait_us >> halvings;
 }
 
 /*
@@ -38,10 +38,10 @@
   int c;
 
   for (c = 0; c <= (int)class; c++)
-    queued_before += l->queued[c];
+    queued_before += l->queued_bytes[c];
   /* A running transfer is not interrupted for a higher class. */
   for (; c < LINK_CLASSES; c++)
-    if (l->queued[c] > 0)
+    if (l->queued_bytes[c] > 0)
       {
         queued_before += l->segment_bytes;
         break;
@@ -62,8 +62,8 @@
 
   if (seen < 0)
     seen = 0;
-  l->others_us = before + (seen - before) / OTHERS_SMOOTHING;
-  l->others_at_us = now_us;
+  l->others_wait_us = before + (seen - before) / OTHERS_SMOOTHING;
+  l->others_wait_at_us = now_us;
 }
 
 /*
@@ -80,7 +80,7 @@
 
   if (class == LINK_IMPORT)
     return true;
-  if (l->queued[LINK_IMPORT] > 0 && class == LINK_COPY)
+  if (l->queued_bytes[LINK_IMPORT] > 0 && class == LINK_COPY)
     return false;
   queued_before
       = link_wait_us (l, LINK_COPY, now_us) + bytes * US_PER_S / l->bytes_s;
@@ -90,7 +90,7 @@
 void
 link_begin (struct link *l, enum link_class class, int64_t bytes)
 {
-  l->queued[class] += bytes;
+  l->queued_bytes[class] += bytes;
 }
 
 /* A transfer ended after MOVING_US on the link, or 0 if it was abandoned. */
@@ -100,12 +100,12 @@
 {
   int64_t seen;
 
-  l->queued[class] -= bytes;
-  if (l->queued[class] < 0)
-    l->queued[class] = 0;
+  l->queued_bytes[class] -= bytes;
+  if (l->queued_bytes[class] < 0)
+    l->queued_bytes[class] = 0;
   if (moving_us <= 0)
     return;
-  l->used[class] += bytes;
+  l->done_bytes[class] += bytes;
   seen = bytes * US_PER_S / moving_us;
   l->bytes_s += (seen - l->bytes_s) / SMOOTHING;
   if (l->bytes_s < MIN_RATE_BYTES_S)
--- a/plan.c
+++ b/plan.c
@@ -8,7 +8,7 @@
  * of the endpoint.  So the minimum is at no import, at that corner, or at the
  * import of all tokens that the store holds.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define MARGIN_PERCENT 10 /* least saving of an import, in percent */
@@ -29,18 +29,18 @@
 estimate (const struct plan_in *in, const struct plan_source *s, int64_t to,
           const struct plan_weights *w)
 {
-  struct plan p = { .store = -1, .import_to = in->cached_tokens };
+  struct plan p = { .store = -1, .import_end_tokens = in->cached_tokens };
   int64_t moving_us = 0;
 
   if (s != NULL && to > in->cached_tokens)
     {
       p.store = s->store;
-      p.import_to = to;
+      p.import_end_tokens = to;
       moving_us = tokens_us (to - in->cached_tokens, s->tokens_s);
       p.import_us = s->wait_us + s->setup_us + moving_us;
     }
-  p.compute_us
-      = tokens_us (in->prompt_tokens - p.import_to, in->prefill_tokens_s);
+  p.compute_us = tokens_us (in->prompt_tokens - p.import_end_tokens,
+                            in->prefill_tokens_s);
   /* The import runs while the endpoint computes the prompts in its queue. */
   p.first_us
       = in->network_us + max64 (in->queue_us, p.import_us) + p.compute_us;
