--- a/adapter.h
+++ b/adapter.h
@@ -156,18 +156,18 @@
 
 /* --- HTTP implementations -------------------------------------------- */
 
-void epc_ops (struct endpoint_ops *ops, struct xfer_pool *pool);
+void endpointclient_init (struct endpoint_ops *ops, struct xfer_pool *pool);
 void storec_ops (struct store_ops *ops, struct xfer_pool *pool);
 
 /* Name of a segment in a store. */
 #define SEGMENT_NAME_SIZE 34
 void segment_name (uint64_t digest, uint64_t write_id, char *name);
 bool segment_parse (const char *name, uint64_t *digest, uint64_t *write_id);
-void tabc_ops (struct table_ops *ops, struct xfer_pool *pool, const char *url,
-               int64_t timeout_ms);
-void tabc_clear (struct table_ops *ops);
-void objc_ops (struct object_ops *ops, struct xfer_pool *pool, const char *url,
-               int64_t timeout_ms);
-void objc_clear (struct object_ops *ops);
+void tableclient_init (struct table_ops *ops, struct xfer_pool *pool,
+                       const char *url, int64_t timeout_ms);
+void tableclient_clear (struct table_ops *ops);
+void objectclient_init (struct object_ops *ops, struct xfer_pool *pool,
+                        const char *url, int64_t timeout_ms);
+void objectclient_clear (struct object_ops *ops);
 
 #endif
--- a/adm.c
+++ b/adm.c
@@ -74,7 +74,7 @@
       json_pack ("{s:s,s:s,s:s,s:I,s:I,s:I,s:I,s:I}", "vm", vm->name, "domain",
                  vm->domain, "phase", phase_name (server_phase (s)),
                  "uptime_s", (json_int_t)(up / CQ_US_PER_S), "live",
-                 (json_int_t)__atomic_load_n (&s->live, __ATOMIC_RELAXED),
+                 (json_int_t)__atomic_load_n (&s->live_jobs, __ATOMIC_RELAXED),
                  "running", (json_int_t)met_get (MET_RUNNING), "queued",
                  (json_int_t)met_get (MET_QUEUED), "connections",
                  (json_int_t)met_get (MET_CONNECTIONS)));
--- a/adopt.c
+++ b/adopt.c
@@ -25,10 +25,11 @@
   g_auto (GStrv) words = g_strsplit_set (v->cfg->refusal_status, " ", -1);
   int i;
 
-  v->nrefusals = 0;
-  for (i = 0; words[i] != NULL && v->nrefusals < MAX_REFUSALS; i++)
+  v->nrefusal_statuses = 0;
+  for (i = 0; words[i] != NULL && v->nrefusal_statuses < MAX_REFUSALS; i++)
     if (words[i][0] != '\0')
-      v->refusals[v->nrefusals++] = (int)g_ascii_strtoll (words[i], NULL, 10);
+      v->refusal_statuses[v->nrefusal_statuses++]
+          = (int)g_ascii_strtoll (words[i], NULL, 10);
 }
 
 static void
@@ -152,23 +153,24 @@
 free_retired (void *arg, int64_t now_us)
 {
   struct server *s = arg;
-  struct cfg *old = s->retired->data;
+  struct cfg *old = s->retired_cfgs->data;
 
-  s->retired = g_list_delete_link (s->retired, s->retired);
+  s->retired_cfgs = g_list_delete_link (s->retired_cfgs, s->retired_cfgs);
   cfg_free (old);
-  if (s->retired != NULL)
-    loop_arm (s->workers[0].loop, &s->old_timer, now_us + OLD_CFG_US);
+  if (s->retired_cfgs != NULL)
+    loop_arm (s->workers[0].loop, &s->retired_timer, now_us + OLD_CFG_US);
 }
 
 /* Freed one after another, each long after it was replaced. */
 static void
 retire (struct server *s, struct cfg *old)
 {
-  s->retired = g_list_append (s->retired, old);
-  s->old_timer.fire = free_retired;
-  s->old_timer.arg = s;
-  if (!s->old_timer.armed)
-    loop_arm (s->workers[0].loop, &s->old_timer, loop_now_us () + OLD_CFG_US);
+  s->retired_cfgs = g_list_append (s->retired_cfgs, old);
+  s->retired_timer.fire = free_retired;
+  s->retired_timer.arg = s;
+  if (!s->retired_timer.armed)
+    loop_arm (s->workers[0].loop, &s->retired_timer,
+              loop_now_us () + OLD_CFG_US);
 }
 
 bool
@@ -205,8 +207,8 @@
 {
   int i;
 
-  loop_disarm (&s->old_timer);
-  g_list_free_full (s->retired, (GDestroyNotify)cfg_free);
+  loop_disarm (&s->retired_timer);
+  g_list_free_full (s->retired_cfgs, (GDestroyNotify)cfg_free);
   for (i = 0; i < s->max_workspaces; i++)
     free_workspace (s, &s->workspaces[i]);
   g_free (s->workspaces);
--- a/api.c
+++ b/api.c
@@ -78,13 +78,13 @@
 }
 
 static const struct job_caller job_caller = {
-  .began = on_began,
+  .started = on_began,
   .ended = on_ended,
   .reply = on_reply,
   .begin = on_begin,
-  .write = on_write,
+  .stream_write = on_write,
   .end = on_end,
-  .pending = on_pending,
+  .stream_pending = on_pending,
   .look = on_look,
 };
 
@@ -269,7 +269,7 @@
 gone (struct req *r)
 {
   if (r->job != NULL)
-    job_caller_gone (r->job);
+    job_caller_disconnected (r->job);
 }
 
 static const struct door_ops api_ops = {
--- a/attempt.c
+++ b/attempt.c
@@ -16,7 +16,7 @@
   extra.cache_salt = j->cache_salt;
   extra.import = kept_import_order (j);
   extra.max_tokens = j->max_tokens;
-  if (j->begun)
+  if (j->stream_begun)
     {
       extra.resume_text = j->strm.text->str;
       extra.resume_offset = j->strm.tokens;
@@ -34,9 +34,10 @@
 
   g_strv_builder_add (headers, type);
   /* Scoped by workspace: two customers may choose the same key. */
-  if (j->key != NULL && j->sc->deduplicates)
+  if (j->idempotency_key != NULL && j->service_cfg->deduplicates)
     {
-      key = g_strdup_printf ("Idempotency-Key: %s/%s", j->wc->id, j->key);
+      key = g_strdup_printf ("Idempotency-Key: %s/%s", j->workspace_cfg->id,
+                             j->idempotency_key);
       g_strv_builder_add (headers, key);
     }
 }
@@ -44,7 +45,7 @@
 static const char *
 path_of (const struct job *j)
 {
-  if (!j->model)
+  if (!j->is_model)
     return j->call_path;
   return j->prompt.chat ? "/v1/chat/completions" : "/v1/completions";
 }
@@ -59,7 +60,7 @@
   g_free (j->send_body);
   j->send_body = NULL;
   g_strfreev (j->send_headers);
-  if (j->model)
+  if (j->is_model)
     build_model_call (j, headers);
   else
     build_plain_call (j, headers);
@@ -78,17 +79,17 @@
 before_send (void *arg)
 {
   struct job *j = arg;
-  const struct cfg_service *c = j->sc;
+  const struct cfg_service *c = j->service_cfg;
   int64_t now = loop_now_us ();
 
   if (j->claimed
-      && !claim_may_send (j->claimed_us, c->send_within_ms * CQ_US_PER_MS,
-                          now))
-    j->stopped = "send_window";
-  else if (!j->ran && now >= j->deadline_us)
-    j->stopped = "deadline";
-  j->byte_us = now;
-  j->handed_over = j->stopped == NULL;
+      && !claim_may_send (j->claim_requested_us,
+                          c->send_within_ms * CQ_US_PER_MS, now))
+    j->stop_reason = "send_window";
+  else if (!j->may_have_run && now >= j->deadline_us)
+    j->stop_reason = "deadline";
+  j->progress_us = now;
+  j->handed_over = j->stop_reason == NULL;
   return j->handed_over;
 }
 
@@ -99,7 +100,7 @@
   size_t n = strlen (CONTENT_TYPE);
   g_autofree char *value = NULL;
 
-  j->byte_us = loop_now_us ();
+  j->progress_us = loop_now_us ();
   if (len <= n || g_ascii_strncasecmp (line, CONTENT_TYPE, n) != 0)
     return;
   value = g_strstrip (g_strndup (line + n, len - n));
@@ -111,8 +112,8 @@
 {
   int i;
 
-  for (i = 0; i < j->service->nrefusals; i++)
-    if (j->service->refusals[i] == status)
+  for (i = 0; i < j->service->nrefusal_statuses; i++)
+    if (j->service->refusal_statuses[i] == status)
       return true;
   return false;
 }
@@ -130,10 +131,10 @@
   if (j->cached_tokens < 0)
     j->cached_tokens = j->strm.cached;
   kept_import_end (j, j->cached_tokens);
-  if (j->first_us != 0)
+  if (j->first_chunk_us != 0)
     return;
-  j->first_us = loop_now_us ();
-  met_observe (MET_FIRST_TOKEN, j->first_us - j->arrived_us);
+  j->first_chunk_us = loop_now_us ();
+  met_observe (MET_FIRST_TOKEN, j->first_chunk_us - j->arrived_us);
 }
 
 static const char *
@@ -165,7 +166,7 @@
   if (j->strm.done)
     return XFER_TAKEN;
   /* A reader that is slower than the engine must not fill the memory. */
-  if (j->caller->pending (j->caller_arg) > buffer_bytes (j))
+  if (j->caller->stream_pending (j->caller_arg) > buffer_bytes (j))
     {
       j->paused = true;
       return XFER_PAUSE;
@@ -174,13 +175,13 @@
   if (events->len > 0)
     {
       note_first (j);
-      if (!j->begun)
-        jobreply_stream (j);
-      j->caller->write (j->caller_arg, events->str, events->len);
+      if (!j->stream_begun)
+        jobreply_begin_stream (j);
+      j->caller->stream_write (j->caller_arg, events->str, events->len);
       met_add (MET_TOKENS, j->strm.tokens - before);
     }
-  j->stopped = stream_fault (code);
-  return j->stopped == NULL ? XFER_TAKEN : XFER_STOP;
+  j->stop_reason = stream_fault (code);
+  return j->stop_reason == NULL ? XFER_TAKEN : XFER_STOP;
 }
 
 static enum xfer_take
@@ -191,7 +192,7 @@
 
   if (j->answer->len + len > max)
     {
-      j->stopped = "answer_too_large";
+      j->stop_reason = "answer_too_large";
       return XFER_STOP;
     }
   g_string_append_len (j->answer, data, (gssize)len);
@@ -203,9 +204,9 @@
 {
   struct job *j = arg;
 
-  j->byte_us = loop_now_us ();
+  j->progress_us = loop_now_us ();
   j->status = status;
-  j->streaming = j->model && j->prompt.stream && status == 200
+  j->streaming = j->is_model && j->prompt.stream && status == 200
                  && g_str_has_prefix (j->answer_type, EVENT_STREAM);
   if (j->streaming && j->caller != NULL)
     return take_stream (j, data, len);
@@ -220,12 +221,12 @@
 {
   char version[WIRE_VERSION_MAX];
 
-  if (!j->model || j->streaming || j->status != 200)
+  if (!j->is_model || j->streaming || j->status != 200)
     return true;
   if (!answer_version (j->answer->str, j->answer->len, version, sizeof version,
                        &j->cached_tokens))
     return false;
-  return strcmp (version, j->sc->version) == 0;
+  return strcmp (version, j->service_cfg->version) == 0;
 }
 
 static enum send_state
@@ -245,16 +246,17 @@
 static struct out_verdict
 judge (struct job *j, enum send_state sent, bool attempts_left)
 {
-  const struct cfg_service *c = j->sc;
+  const struct cfg_service *c = j->service_cfg;
   struct out_facts f = { .sent = sent, .status = j->status };
 
   /* An endpoint that runs a key once may be asked again with that key. */
-  f.repeatable = c->repeatable || (c->deduplicates && j->key != NULL);
-  f.ran_before = j->ran;
-  f.caller_has_bytes = j->begun;
+  f.repeatable
+      = c->repeatable || (c->deduplicates && j->idempotency_key != NULL);
+  f.ran_before = j->may_have_run;
+  f.caller_has_bytes = j->stream_begun;
   f.resumable = j->strm.resumable;
   f.attempts_left = attempts_left;
-  f.deadline_passed = !j->ran && loop_now_us () >= j->deadline_us;
+  f.deadline_passed = !j->may_have_run && loop_now_us () >= j->deadline_us;
   return out_judge (&f);
 }
 
@@ -262,9 +264,9 @@
 attempts_left (const struct job *j, enum send_state sent)
 {
   /* What a deadline or an old claim stopped before sending is given up. */
-  if (sent == SEND_NONE && j->stopped != NULL)
+  if (sent == SEND_NONE && j->stop_reason != NULL)
     return false;
-  return j->attempts < j->sc->attempts && j->nfailed < MAX_ATTEMPTS;
+  return j->attempts < j->service_cfg->attempts && j->nfailed < MAX_ATTEMPTS;
 }
 
 /* Judge an attempt; the retry budget is asked only if it matters. */
@@ -273,7 +275,7 @@
 {
   struct out_verdict v = judge (j, sent, attempts_left (j, sent));
 
-  if (v.next != NEXT_FINISH && !place_retry (j))
+  if (v.next != NEXT_FINISH && !jobsched_spend_retry (j))
     v = judge (j, sent, false);
   return v;
 }
@@ -283,31 +285,32 @@
 static void
 tell_routing (struct job *j, enum send_state sent, int64_t now_us)
 {
-  bool ours = j->stopped != NULL && strcmp (j->stopped, "stalled") != 0;
+  bool ours
+      = j->stop_reason != NULL && strcmp (j->stop_reason, "stalled") != 0;
 
   if (sent == SEND_WHOLE)
-    place_result (j, ROUTE_REACHED, now_us);
+    jobsched_report_result (j, ROUTE_REACHED, now_us);
   else if (sent == SEND_NONE && !ours)
-    place_result (j, ROUTE_UNREACHED, now_us);
+    jobsched_report_result (j, ROUTE_UNREACHED, now_us);
   else if (sent != SEND_REFUSED && !ours)
-    place_result (j, ROUTE_BROKE, now_us);
+    jobsched_report_result (j, ROUTE_BROKE, now_us);
 }
 
 static void
 finish_attempt (struct job *j, struct out_verdict v)
 {
-  if (j->stopped != NULL && v.outcome != OUT_ANSWERED)
-    v.reason = j->stopped;
+  if (j->stop_reason != NULL && v.outcome != OUT_ANSWERED)
+    v.reason = j->stop_reason;
   if (j->claimed && v.outcome != OUT_NOT_RUN)
     {
       j->outcome = v.outcome;
       j->reason = v.reason;
-      j->steps->ran (j);
+      j->callbacks->on_outcome (j);
     }
   else if (v.outcome == OUT_NOT_RUN)
-    j->steps->refuse (j, v.reason, CQ_US_PER_S);
+    j->callbacks->refuse (j, v.reason, CQ_US_PER_S);
   else
-    j->steps->finish (j, v.outcome, v.reason);
+    j->callbacks->finish (j, v.outcome, v.reason);
 }
 
 static void
@@ -320,11 +323,11 @@
   met_add (next == NEXT_RESUME ? MET_RESUMES : MET_RETRIES, 1);
   job_log (j, next == NEXT_RESUME ? "resume" : "retry",
            "after=%d offset=%" G_GINT64_FORMAT, j->attempts,
-           (gint64)(j->begun ? j->strm.tokens : 0));
-  j->failed[j->nfailed++] = j->choice.endpoint;
+           (gint64)(j->stream_begun ? j->strm.tokens : 0));
+  j->failed_endpoints[j->nfailed++] = j->choice.endpoint;
   j->reason = reason;
-  place_requeue (j, now);
-  place_pump (s, sv, now);
+  jobsched_requeue (j, now);
+  jobsched_dispatch (s, sv, now);
 }
 
 /* Decide what follows an attempt whose call is over. */
@@ -336,22 +339,22 @@
 
   v = judge_with_budget (j, sent);
   if (sent != SEND_NONE && sent != SEND_REFUSED)
-    j->ran = true;
+    j->may_have_run = true;
   job_log (j, "attempt_end",
            "attempt=%d sent=%s status=%d next=%s reason=%s "
            "took_us=%" G_GINT64_FORMAT " error=\"%s\"",
            j->attempts, out_send_name (sent), j->status,
-           out_next_name (v.next), j->stopped ? j->stopped : v.reason,
-           (gint64)(now - j->sent_us), error);
+           out_next_name (v.next), j->stop_reason ? j->stop_reason : v.reason,
+           (gint64)(now - j->attempt_started_us), error);
   tell_routing (j, sent, now);
   kept_import_end (j, j->cached_tokens);
-  if (j->model && sent == SEND_WHOLE && j->status == 200)
+  if (j->is_model && sent == SEND_WHOLE && j->status == 200)
     kept_answered (j);
-  place_release (j, now);
+  jobsched_release_slot (j, now);
   if (v.next == NEXT_FINISH)
     finish_attempt (j, v);
   else
-    retry (j, v.next, j->stopped ? j->stopped : v.reason);
+    retry (j, v.next, j->stop_reason ? j->stop_reason : v.reason);
 }
 
 static void
@@ -383,7 +386,7 @@
 
   j->attempts++;
   j->state = JOB_RUNNING;
-  j->stopped = NULL;
+  j->stop_reason = NULL;
   j->status = 0;
   j->handed_over = false;
   j->paused = false;
@@ -393,21 +396,21 @@
   if (j->answer == NULL)
     j->answer = g_string_new (NULL);
   g_string_truncate (j->answer, 0);
-  if (j->model)
+  if (j->is_model)
     strm_attempt (&j->strm, j->attempts);
   build (j);
-  j->sent_us = loop_now_us ();
-  j->byte_us = j->sent_us;
+  j->attempt_started_us = loop_now_us ();
+  j->progress_us = j->attempt_started_us;
   o.path = path_of (j);
   o.headers = (const char *const *)j->send_headers;
-  o.body = j->model ? j->send_body : j->body->str;
-  o.body_len = j->model ? strlen (j->send_body) : j->body->len;
-  o.may_repeat = j->sc->repeatable;
+  o.body = j->is_model ? j->send_body : j->body->str;
+  o.body_len = j->is_model ? strlen (j->send_body) : j->body->len;
+  o.may_repeat = j->service_cfg->repeatable;
   met_add (MET_ATTEMPTS, 1);
   met_add (MET_PROMPT_TOKENS, j->prompt.prompt_tokens);
   met_add (MET_CACHED_TOKENS, j->choice.cached_tokens);
   job_log (j, "send", "attempt=%d endpoint=%s resume_offset=%" G_GINT64_FORMAT,
-           j->attempts, e->id, (gint64)(j->begun ? j->strm.tokens : 0));
+           j->attempts, e->id, (gint64)(j->stream_begun ? j->strm.tokens : 0));
   j->call
       = j->worker->endpoints.call (j->worker->endpoints.ctx, &o, &events, j);
 }
@@ -424,7 +427,7 @@
 
 /* An attempt took too long: cancel it and judge it as broken. */
 void
-attempt_break (struct job *j, const char *reason)
+attempt_abort (struct job *j, const char *reason)
 {
   enum send_state sent = SEND_PARTIAL;
 
@@ -433,7 +436,7 @@
   else if (j->status != 0)
     sent = SEND_REPLIED;
   attempt_stop (j);
-  j->stopped = reason;
+  j->stop_reason = reason;
   conclude (j, sent, "");
 }
 
@@ -444,14 +447,14 @@
 {
   struct job *j = arg;
 
-  j->unpausing = false;
+  j->unpause_posted = false;
   if (j->state == JOB_RUNNING && j->call != NULL && j->paused)
     {
       j->paused = false;
-      j->byte_us = loop_now_us ();
+      j->progress_us = loop_now_us ();
       j->worker->endpoints.unpause (j->worker->endpoints.ctx, j->call);
     }
-  job_unref (j);
+  job_free_if_done (j);
 }
 
 /* The reader took bytes: let the engine go on once half is free.  Posted,
@@ -459,10 +462,10 @@
 void
 job_drained (struct job *j)
 {
-  if (!j->paused || j->unpausing
-      || j->caller->pending (j->caller_arg) > buffer_bytes (j) / 2)
+  if (!j->paused || j->unpause_posted
+      || j->caller->stream_pending (j->caller_arg) > buffer_bytes (j) / 2)
     return;
-  j->unpausing = true;
+  j->unpause_posted = true;
   j->unpause.run = on_unpause;
   j->unpause.arg = j;
   loop_post (j->worker->loop, &j->unpause);
--- a/claims.c
+++ b/claims.c
@@ -39,7 +39,7 @@
 static void flush (struct claims *c);
 
 struct claim_op *
-claims_op (const char *key)
+claims_op_new (const char *key)
 {
   struct claim_op *op = g_new0 (struct claim_op, 1);
 
@@ -73,14 +73,14 @@
 complete (struct claim_op *op, enum claim_op_code code)
 {
   op->code = code;
-  if (op->home == NULL)
+  if (op->home_loop == NULL)
     {
       op_free (op);
       return;
     }
   op->msg.run = deliver;
   op->msg.arg = op;
-  loop_post (op->home, &op->msg);
+  loop_post (op->home_loop, &op->msg);
 }
 
 static void
@@ -107,9 +107,9 @@
 try_again (struct claims *c, struct claim_op *op, int tries)
 {
   op->tries++;
-  if (!op->persist && op->tries >= tries)
+  if (!op->retry_until_reply && op->tries >= tries)
     {
-      complete (op, CLAIM_OP_LOST);
+      complete (op, CLAIM_OP_NO_REPLY);
       return;
     }
   op->due_us = loop_now_us () + pause_after (op);
@@ -170,7 +170,7 @@
         }
       op->row_version = row->version;
       op->row = json_incref (row->value);
-      complete (op, CLAIM_OP_EXISTS);
+      complete (op, CLAIM_OP_CONFLICT);
     }
 }
 
@@ -249,7 +249,8 @@
        op = next)
     {
       next = APR_RING_NEXT (op, link);
-      if (!op->read && ready (op, now_us) && g_hash_table_add (keys, op->key))
+      if (!op->is_read && ready (op, now_us)
+          && g_hash_table_add (keys, op->key))
         take_op (b, op);
     }
 }
@@ -326,7 +327,7 @@
        op != APR_RING_SENTINEL (&c->waiting, claim_op, link); op = next)
     {
       next = APR_RING_NEXT (op, link);
-      if (!op->read || op->due_us > now_us)
+      if (!op->is_read || op->due_us > now_us)
         continue;
       APR_RING_REMOVE (op, link);
       c->nwaiting--;
@@ -365,7 +366,7 @@
   struct claims *c = op->claims;
   int64_t now = loop_now_us ();
 
-  if (op->read)
+  if (op->is_read)
     {
       start_read (c, op);
       return;
--- a/conf.c
+++ b/conf.c
@@ -97,9 +97,9 @@
     }
   if (extra != NULL)
     add_overrides (list, extra);
-  cfg = cfg_load_changed (c->server->files[0], c->server->files[1],
-                          (struct cfg_override *)(void *)list->data,
-                          (int)list->len, err);
+  cfg = cfg_load_changed (
+      c->server->settings_files[0], c->server->settings_files[1],
+      (struct cfg_override *)(void *)list->data, (int)list->len, err);
   g_array_free (list, TRUE);
   return cfg;
 }
--- a/confpost.c
+++ b/confpost.c
@@ -47,7 +47,7 @@
   json_t *doc;
   const struct refusal *f;
 
-  __atomic_fetch_sub (&m->conf->server->live, 1, __ATOMIC_RELAXED);
+  __atomic_fetch_sub (&m->conf->server->live_jobs, 1, __ATOMIC_RELAXED);
   if (m->code == NULL)
     req_reply_json (m->req, 200,
                     json_pack ("{s:I}", "revision", (json_int_t)m->revision));
@@ -384,7 +384,7 @@
   m->conf = s->conf;
   m->req = r;
   m->home = r->worker->loop;
-  __atomic_fetch_add (&s->live, 1, __ATOMIC_RELAXED);
+  __atomic_fetch_add (&s->live_jobs, 1, __ATOMIC_RELAXED);
   m->msg.run = commit_arrived;
   m->msg.arg = m;
   loop_post (s->workers[0].loop, &m->msg);
--- a/epc.c
+++ b/epc.c
@@ -133,7 +133,7 @@
 }
 
 void
-epc_ops (struct endpoint_ops *ops, struct xfer_pool *pool)
+endpointclient_init (struct endpoint_ops *ops, struct xfer_pool *pool)
 {
   ops->call = start_call;
   ops->cancel = cancel_call;
--- a/export.c
+++ b/export.c
@@ -41,18 +41,18 @@
 learn_return (struct kept *k, struct job *j, int64_t now_us)
 {
   struct keep *keep = &k->keeps[j->workspace->index];
-  int last = j->ndigests / DIR_SEGMENT_BLOCKS * DIR_SEGMENT_BLOCKS;
+  int last = j->nprefix_digests / DIR_SEGMENT_BLOCKS * DIR_SEGMENT_BLOCKS;
   struct dir_entry *e = NULL;
   int at;
 
   for (at = last; at > 0 && e == NULL; at -= DIR_SEGMENT_BLOCKS)
-    e = dir_find (k->seen, j->digests[at - 1]);
+    e = dir_find (k->seen, j->prefix_digests[at - 1]);
   if (e != NULL)
     keep_returned (keep, now_us - e->used_us);
   keep_used (keep);
   if (last == 0)
     return;
-  e = dir_add (k->seen, j->digests[last - 1], 0, 0, now_us);
+  e = dir_add (k->seen, j->prefix_digests[last - 1], 0, 0, now_us);
   dir_touch (k->seen, e, now_us);
 }
 
@@ -61,7 +61,7 @@
 static int64_t
 segment_bytes (const struct job *j)
 {
-  return SEGMENT_TOKENS * j->sc->kv_token_bytes;
+  return SEGMENT_TOKENS * j->service_cfg->kv_token_bytes;
 }
 
 static bool
@@ -74,7 +74,7 @@
       = cfg_endpoint (server_cfg (k->server), j->choice.endpoint)
             ->prefill_tokens_s;
   in.link_bytes_s = st->link.bytes_s;
-  in.span_us = j->sc->keep_span_s * CQ_US_PER_S;
+  in.span_us = j->service_cfg->keep_span_s * CQ_US_PER_S;
   return keep_worth (&k->keeps[j->workspace->index], &in) > 0;
 }
 
@@ -83,7 +83,7 @@
 static struct store *
 home_store (struct kept *k, const struct job *j)
 {
-  uint64_t start = j->digests[DIR_SEGMENT_BLOCKS - 1];
+  uint64_t start = j->prefix_digests[DIR_SEGMENT_BLOCKS - 1];
   struct store *st;
   int i;
 
@@ -116,15 +116,16 @@
   int64_t bytes = segment_bytes (j);
   int at;
 
-  for (at = DIR_SEGMENT_BLOCKS; at <= j->ndigests; at += DIR_SEGMENT_BLOCKS)
+  for (at = DIR_SEGMENT_BLOCKS; at <= j->nprefix_digests;
+       at += DIR_SEGMENT_BLOCKS)
     {
-      if (stored (k, j->digests[at - 1], st->index))
+      if (stored (k, j->prefix_digests[at - 1], st->index))
         continue;
       if (!link_admit (&st->link, LINK_EXPORT, bytes, EXPORT_BUDGET_US,
                        now_us))
         return;
       link_begin (&st->link, LINK_EXPORT, bytes);
-      o->digests[o->n] = j->digests[at - 1];
+      o->digests[o->n] = j->prefix_digests[at - 1];
       randombytes_buf (&o->write_ids[o->n], sizeof o->write_ids[o->n]);
       o->bytes += bytes;
       o->n++;
@@ -212,8 +213,9 @@
       json_array_append_new (list, json_string (name));
     }
   doc = json_pack ("{s:s,s:s,s:I,s:o}", "store", st->cfg->address, "version",
-                   j->sc->version, "token_bytes",
-                   (json_int_t)j->sc->kv_token_bytes, "segments", list);
+                   j->service_cfg->version, "token_bytes",
+                   (json_int_t)j->service_cfg->kv_token_bytes, "segments",
+                   list);
   text = json_dumps (doc, JSON_COMPACT);
   copy = g_strdup (text);
   free (text);
@@ -253,8 +255,8 @@
   o->workspace = j->workspace->index;
   o->endpoint = j->choice.endpoint;
   g_strlcpy (o->id, j->id, sizeof o->id);
-  o->digests = g_new0 (uint64_t, j->ndigests);
-  o->write_ids = g_new0 (uint64_t, j->ndigests);
+  o->digests = g_new0 (uint64_t, j->nprefix_digests);
+  o->write_ids = g_new0 (uint64_t, j->nprefix_digests);
   g_mutex_lock (&s->route_lock);
   st = home_store (k, j);
   if (st != NULL && worth_keeping (k, j, st))
@@ -277,10 +279,11 @@
   if (j->cached_tokens < 0)
     return;
   g_mutex_lock (&s->route_lock);
-  pfx_counted (s->prefixes, j->digests, j->ndigests, j->choice.endpoint,
-               (int)(j->cached_tokens / BLOCK_TOKENS));
+  pfx_counted (s->prefixes, j->prefix_digests, j->nprefix_digests,
+               j->choice.endpoint, (int)(j->cached_tokens / BLOCK_TOKENS));
   /* It has computed the whole prompt by now. */
-  pfx_learn (s->prefixes, j->digests, j->ndigests, j->choice.endpoint);
+  pfx_learn (s->prefixes, j->prefix_digests, j->nprefix_digests,
+             j->choice.endpoint);
   g_mutex_unlock (&s->route_lock);
 }
 
@@ -294,8 +297,8 @@
   g_mutex_lock (&s->route_lock);
   learn_return (s->kept, j, now);
   g_mutex_unlock (&s->route_lock);
-  if (j->sc->kv_token_bytes > 0 && s->kept->n > 0
-      && j->ndigests >= DIR_SEGMENT_BLOCKS)
+  if (j->service_cfg->kv_token_bytes > 0 && s->kept->n > 0
+      && j->nprefix_digests >= DIR_SEGMENT_BLOCKS)
     keep_work (j, now);
 }
 
--- a/job.c
+++ b/job.c
@@ -16,7 +16,7 @@
 /* A parsed prompt is held as JSON, as text and as the body sent. */
 #define PROMPT_COPIES 3
 
-static const struct job_steps steps;
+static const struct job_callbacks steps;
 
 /* --- start ----------------------------------------------------------- */
 
@@ -30,18 +30,18 @@
   j->worker = w;
   j->caller = d->caller;
   j->caller_arg = d->arg;
-  j->steps = &steps;
+  j->callbacks = &steps;
   g_strlcpy (j->id, d->id, sizeof j->id);
   j->workspace = &s->workspaces[d->workspace];
   j->service = &s->services[service];
   j->cfg = cfg_ref (server_cfg (s));
-  j->sc = cfg_service (j->cfg, service);
-  j->wc = cfg_workspace (j->cfg, d->workspace);
+  j->service_cfg = cfg_service (j->cfg, service);
+  j->workspace_cfg = cfg_workspace (j->cfg, d->workspace);
   j->arrived_us = d->arrived_us;
-  j->deadline_us = j->arrived_us + j->sc->deadline_ms * CQ_US_PER_MS;
+  j->deadline_us = j->arrived_us + j->service_cfg->deadline_ms * CQ_US_PER_MS;
   j->trace = g_string_new (NULL);
   j->cost = 1;
-  j->key = g_strdup (d->key);
+  j->idempotency_key = g_strdup (d->key);
   APR_RING_ELEM_INIT (j, link);
   return j;
 }
@@ -73,13 +73,14 @@
 {
   guint64 ms;
 
-  if (j->key != NULL && (j->key[0] == '\0' || strlen (j->key) > 255))
+  if (j->idempotency_key != NULL
+      && (j->idempotency_key[0] == '\0' || strlen (j->idempotency_key) > 255))
     return "bad_header";
   if (priority != NULL && strcmp (priority, "urgent") == 0)
     j->urgent = true;
   else if (priority != NULL && strcmp (priority, "normal") != 0)
     return "bad_header";
-  if (j->urgent && !j->wc->urgent)
+  if (j->urgent && !j->workspace_cfg->urgent)
     return "urgent_not_allowed";
   if (deadline == NULL)
     return NULL;
@@ -113,10 +114,10 @@
 
   APR_RING_INSERT_TAIL (&w->jobs, j, job, link);
   w->njobs++;
-  __atomic_fetch_add (&w->server->live, 1, __ATOMIC_RELAXED);
+  __atomic_fetch_add (&w->server->live_jobs, 1, __ATOMIC_RELAXED);
   met_add (MET_REQUESTS, 1);
-  if (!w->sweep.armed)
-    loop_arm (w->loop, &w->sweep, loop_now_us () + SWEEP_US);
+  if (!w->sweep_timer.armed)
+    loop_arm (w->loop, &w->sweep_timer, loop_now_us () + SWEEP_US);
 }
 
 static void
@@ -126,12 +127,13 @@
   int64_t retry_after = 0;
   const char *code = phase_refusal (j->worker->server);
 
-  j->caller->began (j->caller_arg, j);
+  j->caller->started (j->caller_arg, j);
   enlist (j);
   job_log (j, "accept", "kind=%s urgent=%d keyed=%d cost=%" G_GINT64_FORMAT,
-           j->model ? "model" : "plain", j->urgent, j->key != NULL,
-           (gint64)j->cost);
-  if (code == NULL && j->sc->when_stale == CFG_SERVICE_WHEN_STALE_REFUSE
+           j->is_model ? "model" : "plain", j->urgent,
+           j->idempotency_key != NULL, (gint64)j->cost);
+  if (code == NULL
+      && j->service_cfg->when_stale == CFG_SERVICE_WHEN_STALE_REFUSE
       && j->worker->server->conf != NULL
       && conf_stale (j->worker->server->conf, now))
     code = "settings_stale";
@@ -140,9 +142,9 @@
   else
     retry_after = CQ_US_PER_S;
   if (code == NULL)
-    code = place_submit (j, now, &retry_after);
+    code = jobsched_submit (j, now, &retry_after);
   if (code != NULL)
-    j->steps->refuse (j, code, retry_after);
+    j->callbacks->refuse (j, code, retry_after);
 }
 
 static void
@@ -150,13 +152,16 @@
 {
   struct pfx_scope scope;
 
-  pfx_scope_init (&scope, j->wc->id, j->sc->id, j->sc->version, "");
+  pfx_scope_init (&scope, j->workspace_cfg->id, j->service_cfg->id,
+                  j->service_cfg->version, "");
   sodium_bin2hex (j->cache_salt, sizeof j->cache_salt, scope.key,
                   sizeof scope.key);
-  j->digests = g_new (uint64_t, PFX_MAX_BLOCKS);
-  j->ndigests = pfx_chain (&scope, j->prompt.text->str, j->prompt.text->len,
-                           j->digests, PFX_MAX_BLOCKS);
-  j->digests = g_renew (uint64_t, j->digests, j->ndigests + 1);
+  j->prefix_digests = g_new (uint64_t, PFX_MAX_BLOCKS);
+  j->nprefix_digests
+      = pfx_chain (&scope, j->prompt.text->str, j->prompt.text->len,
+                   j->prefix_digests, PFX_MAX_BLOCKS);
+  j->prefix_digests
+      = g_renew (uint64_t, j->prefix_digests, j->nprefix_digests + 1);
 }
 
 const char *
@@ -183,12 +188,13 @@
       return "no_service";
     }
   j = job_new (d, service);
-  j->model = true;
+  j->is_model = true;
   j->prompt = p;
-  j->max_tokens = p.max_tokens ? p.max_tokens : j->sc->max_tokens;
+  j->max_tokens = p.max_tokens ? p.max_tokens : j->service_cfg->max_tokens;
   j->cost = p.prompt_tokens + j->max_tokens;
-  job_charge (j, (int64_t)d->body_len * PROMPT_COPIES);
-  strm_init (&j->strm, j->sc->version, (size_t)vm->resume_text_kb * 1024);
+  job_charge_memory (j, (int64_t)d->body_len * PROMPT_COPIES);
+  strm_init (&j->strm, j->service_cfg->version,
+             (size_t)vm->resume_text_kb * 1024);
   digest_prompt (j);
   submit (j, d);
   return NULL;
@@ -206,7 +212,7 @@
   if (service < 0)
     return "no_service";
   j = job_new (d, service);
-  job_charge (j, (int64_t)d->body_len);
+  job_charge_memory (j, (int64_t)d->body_len);
   j->body = g_string_new_len (d->body, (gssize)d->body_len);
   j->call_path = g_strdup (slash ? slash : "/");
   j->content_type = g_strdup (d->content_type ? d->content_type
@@ -224,7 +230,7 @@
 
   APR_RING_REMOVE (j, link);
   w->njobs--;
-  __atomic_fetch_sub (&w->server->live, 1, __ATOMIC_RELAXED);
+  __atomic_fetch_sub (&w->server->live_jobs, 1, __ATOMIC_RELAXED);
 }
 
 static void
@@ -248,36 +254,39 @@
 {
   struct server *s = j->worker->server;
   int64_t now = loop_now_us ();
-  int64_t used = j->model ? j->prompt.prompt_tokens + j->strm.tokens : j->cost;
+  int64_t used
+      = j->is_model ? j->prompt.prompt_tokens + j->strm.tokens : j->cost;
 
   attempt_stop (j);
   kept_import_end (j, -1);
-  place_release (j, now);
+  jobsched_release_slot (j, now);
   if (j->admitted)
-    place_refund (j, outcome == OUT_NOT_RUN ? j->cost : j->cost - used);
+    jobsched_refund_tokens (j,
+                            outcome == OUT_NOT_RUN ? j->cost : j->cost - used);
   job_log (j, "finish",
            "outcome=%s reason=%s attempts=%d tokens=%" G_GINT64_FORMAT
            " first_us=%" G_GINT64_FORMAT " whole_us=%" G_GINT64_FORMAT,
            out_name (outcome), reason, j->attempts, (gint64)j->strm.tokens,
-           (gint64)(j->first_us ? j->first_us - j->arrived_us : 0),
+           (gint64)(j->first_chunk_us ? j->first_chunk_us - j->arrived_us : 0),
            (gint64)(now - j->arrived_us));
   count_outcome (j, outcome, now);
   history_add (s->history, j, outcome, reason, now);
-  jobreply_outcome (j, outcome, reason, retry_after_us);
+  jobreply_send_outcome (j, outcome, reason, retry_after_us);
   if (j->caller != NULL)
     j->caller->ended (j->caller_arg);
   j->caller = NULL;
-  jobclaim_forget (j);
+  jobclaim_detach (j);
   j->state = JOB_DONE;
   delist (j);
-  job_unref (j);
+  job_free_if_done (j);
 }
 
 /* Give up a job before its next attempt; not-run if no attempt ran. */
 static void
 refuse (struct job *j, const char *code, int64_t retry_after_us)
 {
-  enum outcome outcome = out_refused (j->ran, j->sc->repeatable);
+  enum outcome outcome
+      = out_refused (j->may_have_run, j->service_cfg->repeatable);
 
   if (outcome == OUT_NOT_RUN)
     jobclaim_release (j);
@@ -294,15 +303,15 @@
 static void
 placed (struct job *j)
 {
-  if (jobclaim_needed (j))
+  if (jobclaim_is_needed (j))
     jobclaim_start (j);
   else
     attempt_start (j);
 }
 
-static const struct job_steps steps = {
-  .placed = placed,
-  .ran = jobclaim_record,
+static const struct job_callbacks steps = {
+  .on_slot_taken = placed,
+  .on_outcome = jobclaim_record,
   .refuse = refuse,
   .finish = finish_at_once,
 };
@@ -313,21 +322,21 @@
  * and its recorded answer is what the caller's retry will ask for.
  */
 void
-job_caller_gone (struct job *j)
+job_caller_disconnected (struct job *j)
 {
   j->caller = NULL;
   met_add (MET_CANCELS, 1);
   switch (j->state)
     {
     case JOB_QUEUED:
-      if (place_cancel (j))
+      if (jobsched_cancel (j))
         refuse (j, "caller_gone", 0);
       return;
     case JOB_RUNNING:
-      if (j->sc->repeatable)
+      if (j->service_cfg->repeatable)
         finish (j, OUT_FAILED, "caller_gone", 0);
       return;
-    case JOB_WAITING:
+    case JOB_WAITING_FOR_OWNER:
       finish (j, OUT_UNKNOWN, "caller_gone", 0);
       return;
     case JOB_CLAIMING:
@@ -343,12 +352,12 @@
 static void
 sweep_running (struct job *j, int64_t now_us)
 {
-  const struct cfg_service *c = j->sc;
+  const struct cfg_service *c = j->service_cfg;
 
-  if (now_us - j->sent_us > c->run_max_s * CQ_US_PER_S)
-    attempt_break (j, "run_max");
-  else if (!j->paused && now_us - j->byte_us > c->stall_ms * CQ_US_PER_MS)
-    attempt_break (j, "stalled");
+  if (now_us - j->attempt_started_us > c->run_max_s * CQ_US_PER_S)
+    attempt_abort (j, "run_max");
+  else if (!j->paused && now_us - j->progress_us > c->stall_ms * CQ_US_PER_MS)
+    attempt_abort (j, "stalled");
 }
 
 static void
@@ -357,17 +366,17 @@
   switch (j->state)
     {
     case JOB_QUEUED:
-      if (now_us >= j->entry.deadline_us && place_cancel (j))
+      if (now_us >= j->entry.deadline_us && jobsched_cancel (j))
         refuse (j, "deadline", CQ_US_PER_S);
       break;
     case JOB_RUNNING:
       sweep_running (j, now_us);
       break;
-    case JOB_WAITING:
+    case JOB_WAITING_FOR_OWNER:
       jobclaim_poll (j, now_us);
       break;
     case JOB_RECORDING:
-      if (now_us >= j->record_until_us)
+      if (now_us >= j->record_deadline_us)
         finish (j, j->outcome, j->reason, 0);
       break;
     case JOB_CLAIMING:
@@ -399,7 +408,7 @@
         look_for_gone (j);
       sweep_job (j, now_us);
     }
-  place_pump_waiting (w->server, now_us);
+  jobsched_dispatch_all (w->server, now_us);
   if (w->njobs > 0)
-    loop_arm (w->loop, &w->sweep, now_us + SWEEP_US);
+    loop_arm (w->loop, &w->sweep_timer, now_us + SWEEP_US);
 }
--- a/jobclaim.c
+++ b/jobclaim.c
@@ -39,26 +39,28 @@
 static void
 name_claim (struct job *j)
 {
-  const char *const key[] = { j->key };
-  const size_t key_len[] = { strlen (j->key) };
+  const char *const key[] = { j->idempotency_key };
+  const size_t key_len[] = { strlen (j->idempotency_key) };
   const char *const request[] = { j->call_path, j->body->str };
   const size_t request_len[] = { strlen (j->call_path), j->body->len };
   char hex[DIGEST_SIZE];
 
   hex_digest (key, key_len, 1, hex);
-  j->claim_key = g_strdup_printf ("claim/%s/%s/%s", j->wc->id, j->sc->id, hex);
-  hex_digest (request, request_len, 2, j->digest);
+  j->claim_key = g_strdup_printf ("claim/%s/%s/%s", j->workspace_cfg->id,
+                                  j->service_cfg->id, hex);
+  hex_digest (request, request_len, 2, j->request_digest);
   g_snprintf (j->attempt_id, sizeof j->attempt_id, "%s/%s",
               cfg_vm (server_cfg (j->worker->server))->name, j->id);
 }
 
 bool
-jobclaim_needed (const struct job *j)
+jobclaim_is_needed (const struct job *j)
 {
-  const struct cfg_service *c = j->sc;
+  const struct cfg_service *c = j->service_cfg;
 
-  return !j->model && j->key != NULL && !c->repeatable && !c->deduplicates
-         && j->worker->server->claims != NULL && !j->claimed;
+  return !j->is_model && j->idempotency_key != NULL && !c->repeatable
+         && !c->deduplicates && j->worker->server->claims != NULL
+         && !j->claimed;
 }
 
 /* --- operations ------------------------------------------------------ */
@@ -73,11 +75,11 @@
 run_op (struct job *j, struct claim_op *op,
         void (*done) (struct claim_op *, void *))
 {
-  op->home = j->worker->loop;
+  op->home_loop = j->worker->loop;
   op->done = done;
   op->arg = j;
-  j->op = op;
-  j->pending++;
+  j->claim_op = op;
+  j->pending_ops++;
   claims_submit (j->worker->server->claims, op);
 }
 
@@ -89,20 +91,20 @@
 
   if (j == NULL)
     return NULL;
-  j->op = NULL;
-  j->pending--;
+  j->claim_op = NULL;
+  j->pending_ops--;
   return j;
 }
 
 /* A job ends: the result of its operation is of no interest any more. */
 void
-jobclaim_forget (struct job *j)
+jobclaim_detach (struct job *j)
 {
-  if (j->op == NULL)
+  if (j->claim_op == NULL)
     return;
-  j->op->arg = NULL;
-  j->op = NULL;
-  j->pending--;
+  j->claim_op->arg = NULL;
+  j->claim_op = NULL;
+  j->pending_ops--;
 }
 
 /* --- claiming -------------------------------------------------------- */
@@ -110,12 +112,12 @@
 static json_t *
 held_row (struct job *j)
 {
-  const struct cfg_service *c = j->sc;
+  const struct cfg_service *c = j->service_cfg;
   int64_t give_up = wall_ms () + c->send_within_ms + c->run_max_s * 1000
                     + GIVE_UP_SLACK_MS;
 
   return json_pack ("{s:s,s:s,s:s,s:I}", "phase", "held", "attempt",
-                    j->attempt_id, "digest", j->digest, "give_up_ms",
+                    j->attempt_id, "digest", j->request_digest, "give_up_ms",
                     (json_int_t)give_up);
 }
 
@@ -123,7 +125,8 @@
 log_claim (struct job *j, const char *result)
 {
   job_log (j, "claim", "attempt_id=%s result=%s took_us=%" G_GINT64_FORMAT,
-           j->attempt_id, result, (gint64)(loop_now_us () - j->claimed_us));
+           j->attempt_id, result,
+           (gint64)(loop_now_us () - j->claim_requested_us));
 }
 
 static void
@@ -134,7 +137,7 @@
   met_add (MET_CLAIMS, 1);
   log_claim (j, "own");
   if (j->caller == NULL)
-    j->steps->refuse (j, "caller_gone", 0);
+    j->callbacks->refuse (j, "caller_gone", 0);
   else
     attempt_start (j);
 }
@@ -149,9 +152,9 @@
   if (op->code == CLAIM_OP_DONE && owner != NULL
       && strcmp (owner, attempt) == 0)
     {
-      del = claims_op (op->key);
+      del = claims_op_new (op->key);
       del->version = op->row_version;
-      del->persist = true;
+      del->retry_until_reply = true;
       claims_submit (op->claims, del);
     }
 }
@@ -164,11 +167,11 @@
 static void
 release_uncertain (struct job *j)
 {
-  struct claim_op *op = claims_op (j->claim_key);
+  struct claim_op *op = claims_op_new (j->claim_key);
 
-  op->read = true;
-  op->persist = true;
-  op->home = j->worker->loop;
+  op->is_read = true;
+  op->retry_until_reply = true;
+  op->home_loop = j->worker->loop;
   op->done = after_read_to_release;
   op->arg = g_strdup (j->attempt_id);
   claims_submit (j->worker->server->claims, op);
@@ -177,7 +180,7 @@
 static void
 without_table (struct job *j)
 {
-  bool run = j->sc->claim_outage == CFG_SERVICE_CLAIM_OUTAGE_RUN;
+  bool run = j->service_cfg->claim_outage == CFG_SERVICE_CLAIM_OUTAGE_RUN;
 
   log_claim (j, run ? "lost_run_anyway" : "lost");
   if (run && j->caller != NULL)
@@ -186,7 +189,7 @@
       return;
     }
   release_uncertain (j);
-  j->steps->refuse (j, "table_down", CQ_US_PER_S);
+  j->callbacks->refuse (j, "table_down", CQ_US_PER_S);
 }
 
 static void
@@ -201,10 +204,10 @@
     case CLAIM_OP_DONE:
       own_claim (j, op->row_version);
       break;
-    case CLAIM_OP_EXISTS:
+    case CLAIM_OP_CONFLICT:
       judge_row (j, op->row, op->row_version);
       break;
-    case CLAIM_OP_LOST:
+    case CLAIM_OP_NO_REPLY:
       without_table (j);
       break;
     }
@@ -218,8 +221,8 @@
   j->state = JOB_CLAIMING;
   if (j->claim_key == NULL)
     name_claim (j);
-  j->claimed_us = loop_now_us ();
-  op = claims_op (j->claim_key);
+  j->claim_requested_us = loop_now_us ();
+  op = claims_op_new (j->claim_key);
   op->put = held_row (j);
   run_op (j, op, on_claimed);
 }
@@ -233,9 +236,9 @@
   if (!j->claimed)
     return;
   j->claimed = false;
-  op = claims_op (j->claim_key);
+  op = claims_op_new (j->claim_key);
   op->version = j->claim_version;
-  op->persist = true;
+  op->retry_until_reply = true;
   claims_submit (j->worker->server->claims, op);
 }
 
@@ -253,7 +256,7 @@
 replay (struct job *j)
 {
   met_add (MET_CLAIM_REPLAYS, 1);
-  j->steps->finish (j, j->outcome, j->reason);
+  j->callbacks->finish (j, j->outcome, j->reason);
 }
 
 static void
@@ -261,15 +264,15 @@
 {
   struct job *j = arg;
 
-  j->pending--;
+  j->pending_ops--;
   if (j->state == JOB_DONE)
     {
-      job_unref (j);
+      job_free_if_done (j);
       return;
     }
   if (!found)
     {
-      j->steps->finish (j, OUT_UNKNOWN, "answer_lost");
+      j->callbacks->finish (j, OUT_UNKNOWN, "answer_lost");
       return;
     }
   g_string_append_len (j->answer, data, (gssize)len);
@@ -307,7 +310,7 @@
   if (object[0] != '\0' && j->worker->objects.ctx != NULL)
     {
       j->state = JOB_CLAIMING;
-      j->pending++;
+      j->pending_ops++;
       j->worker->objects.get (j->worker->objects.ctx, object, on_object, j);
       return;
     }
@@ -321,16 +324,16 @@
 {
   int64_t now = loop_now_us ();
 
-  if (j->state != JOB_WAITING)
+  if (j->state != JOB_WAITING_FOR_OWNER)
     {
-      j->state = JOB_WAITING;
+      j->state = JOB_WAITING_FOR_OWNER;
       j->read_pause_us = READ_PAUSE_US;
       /* The run belongs to another; its place must not be held twice. */
-      place_release (j, now);
+      jobsched_release_slot (j, now);
     }
   if (j->caller == NULL)
     {
-      j->steps->finish (j, OUT_UNKNOWN, "caller_gone");
+      j->callbacks->finish (j, OUT_UNKNOWN, "caller_gone");
       return;
     }
   j->read_us = now + j->read_pause_us;
@@ -349,7 +352,7 @@
   r.phase
       = strcmp (text_of (row, "phase"), "done") == 0 ? CLAIM_DONE : CLAIM_HELD;
   r.give_up_ms = json_integer_value (json_object_get (row, "give_up_ms"));
-  code = claim_judge (&r, j->attempt_id, j->digest, wall_ms ());
+  code = claim_judge (&r, j->attempt_id, j->request_digest, wall_ms ());
   if (code != CLAIM_OWN)
     log_claim (j, claim_name (code));
   switch (code)
@@ -364,10 +367,10 @@
       wait_for_owner (j);
       break;
     case CLAIM_LOST:
-      j->steps->finish (j, OUT_UNKNOWN, "claim_lost");
+      j->callbacks->finish (j, OUT_UNKNOWN, "claim_lost");
       break;
     case CLAIM_MISMATCH:
-      j->steps->refuse (j, "key_reused", 0);
+      j->callbacks->refuse (j, "key_reused", 0);
       break;
     }
 }
@@ -385,7 +388,7 @@
     judge_row (j, op->row, op->row_version);
   else
     /* The owner gave its claim back: it was not run. */
-    place_requeue (j, loop_now_us ());
+    jobsched_requeue (j, loop_now_us ());
 }
 
 /* From the sweep, while another attempt owns the run. */
@@ -396,13 +399,13 @@
 
   if (now_us >= j->deadline_us)
     {
-      j->steps->finish (j, OUT_UNKNOWN, "still_running");
+      j->callbacks->finish (j, OUT_UNKNOWN, "still_running");
       return;
     }
-  if (j->op != NULL || now_us < j->read_us)
+  if (j->claim_op != NULL || now_us < j->read_us)
     return;
-  op = claims_op (j->claim_key);
-  op->read = true;
+  op = claims_op_new (j->claim_key);
+  op->is_read = true;
   run_op (j, op, on_row);
 }
 
@@ -415,18 +418,19 @@
 
   if (j == NULL)
     return;
-  log_claim (j, op->code == CLAIM_OP_LOST ? "not_recorded" : "recorded");
-  j->steps->finish (j, j->outcome, j->reason);
+  log_claim (j, op->code == CLAIM_OP_NO_REPLY ? "not_recorded" : "recorded");
+  j->callbacks->finish (j, j->outcome, j->reason);
 }
 
 static json_t *
 done_row (struct job *j, const char *object)
 {
   g_autofree char *body = NULL;
-  json_t *row = json_pack (
-      "{s:s,s:s,s:s,s:s,s:s,s:i,s:s}", "phase", "done", "attempt",
-      j->attempt_id, "digest", j->digest, "outcome", out_name (j->outcome),
-      "reason", j->reason, "status", j->status, "type", j->answer_type);
+  json_t *row
+      = json_pack ("{s:s,s:s,s:s,s:s,s:s,s:i,s:s}", "phase", "done", "attempt",
+                   j->attempt_id, "digest", j->request_digest, "outcome",
+                   out_name (j->outcome), "reason", j->reason, "status",
+                   j->status, "type", j->answer_type);
 
   if (object != NULL)
     {
@@ -441,12 +445,12 @@
 static void
 write_record (struct job *j, const char *object)
 {
-  struct claim_op *op = claims_op (j->claim_key);
+  struct claim_op *op = claims_op_new (j->claim_key);
 
   op->version = j->claim_version;
   op->put = done_row (j, object);
   /* The caller waits a bounded time; the record is tried for longer. */
-  op->persist = true;
+  op->retry_until_reply = true;
   if (j->state == JOB_DONE)
     claims_submit (j->worker->server->claims, op);
   else
@@ -461,11 +465,11 @@
 
   (void)data;
   (void)len;
-  j->pending--;
+  j->pending_ops--;
   name = g_strdup_printf ("answer-%s", j->id);
   /* Without the object store the table takes the answer itself. */
   write_record (j, found ? name : NULL);
-  job_unref (j);
+  job_free_if_done (j);
 }
 
 /* Record the end of a claimed call, then answer its caller. */
@@ -477,14 +481,14 @@
   g_autofree char *name = g_strdup_printf ("answer-%s", j->id);
 
   j->state = JOB_RECORDING;
-  j->record_until_us = loop_now_us () + p->record_wait_ms * CQ_US_PER_MS;
+  j->record_deadline_us = loop_now_us () + p->record_wait_ms * CQ_US_PER_MS;
   if (j->answer->len <= (size_t)p->record_inline_kb * 1024
       || objects->ctx == NULL)
     {
       write_record (j, NULL);
       return;
     }
-  j->pending++;
+  j->pending_ops++;
   objects->put (objects->ctx, name, j->answer->str, j->answer->len, on_stored,
                 j);
 }
--- a/joblog.c
+++ b/joblog.c
@@ -16,7 +16,7 @@
   pairs = g_strdup_vprintf (fmt, ap);
   va_end (ap);
   log_event (LOG_LEVEL_INFO, event, "req=%s workspace=%s service=%s %s", j->id,
-             j->wc->id, j->sc->id, pairs);
+             j->workspace_cfg->id, j->service_cfg->id, pairs);
   if (j->trace->len < TRACE_MAX_BYTES)
     g_string_append_printf (j->trace, "%" G_GINT64_FORMAT " %s %s\n",
                             (gint64)(loop_now_us () - j->arrived_us), event,
@@ -25,16 +25,16 @@
 
 /* Count BYTES as held for a job. */
 void
-job_charge (struct job *j, int64_t bytes)
+job_charge_memory (struct job *j, int64_t bytes)
 {
-  j->charged += bytes;
+  j->charged_bytes += bytes;
   __atomic_fetch_add (&j->worker->server->body_bytes, bytes, __ATOMIC_RELAXED);
 }
 
 static void
 job_free (struct job *j)
 {
-  job_charge (j, -j->charged);
+  job_charge_memory (j, -j->charged_bytes);
   prompt_clear (&j->prompt);
   strm_clear (&j->strm);
   if (j->body != NULL)
@@ -46,8 +46,8 @@
   g_free (j->send_body);
   g_free (j->call_path);
   g_free (j->content_type);
-  g_free (j->digests);
-  g_free (j->key);
+  g_free (j->prefix_digests);
+  g_free (j->idempotency_key);
   g_free (j->claim_key);
   cfg_free (j->cfg);
   g_free (j);
@@ -55,8 +55,8 @@
 
 /* Free a job that has ended once nothing is under way for it. */
 void
-job_unref (struct job *j)
+job_free_if_done (struct job *j)
 {
-  if (j->state == JOB_DONE && j->pending == 0 && !j->unpausing)
+  if (j->state == JOB_DONE && j->pending_ops == 0 && !j->unpause_posted)
     job_free (j);
 }
--- a/jobreply.c
+++ b/jobreply.c
@@ -20,9 +20,9 @@
 
 /* The stream began: events follow. */
 void
-jobreply_stream (struct job *j)
+jobreply_begin_stream (struct job *j)
 {
-  j->begun = true;
+  j->stream_begun = true;
   j->caller->begin (j->caller_arg, "text/event-stream");
 }
 
@@ -38,7 +38,7 @@
     {
       text = error_text (outcome, reason);
       event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
-      j->caller->write (j->caller_arg, event, strlen (event));
+      j->caller->stream_write (j->caller_arg, event, strlen (event));
     }
   j->caller->end (j->caller_arg, outcome == OUT_ANSWERED);
 }
@@ -50,7 +50,7 @@
   if (outcome == OUT_ANSWERED)
     return true;
   return outcome == OUT_FAILED && j->answer != NULL && j->status >= 500
-         && j->stopped == NULL;
+         && j->stop_reason == NULL;
 }
 
 static void
@@ -83,12 +83,12 @@
 
 /* Tell the caller what became of the request. */
 void
-jobreply_outcome (struct job *j, enum outcome outcome, const char *reason,
-                  int64_t retry_after_us)
+jobreply_send_outcome (struct job *j, enum outcome outcome, const char *reason,
+                       int64_t retry_after_us)
 {
   if (j->caller == NULL)
     return;
-  if (j->begun)
+  if (j->stream_begun)
     end_stream (j, outcome, reason);
   else if (has_answer (j, outcome))
     reply_answer (j, outcome);
--- a/kept.c
+++ b/kept.c
@@ -114,7 +114,7 @@
 kept_sources (struct kept *k, struct job *j, int64_t now_us,
               struct plan_source *sources, int max)
 {
-  int64_t token_bytes = j->sc->kv_token_bytes;
+  int64_t token_bytes = j->service_cfg->kv_token_bytes;
   struct store *st;
   int n = 0;
   int depth, i;
@@ -124,7 +124,9 @@
   for (i = 0; i < k->n && n < max; i++)
     {
       st = &k->stores[i];
-      depth = st->up ? dir_depth (k->dir, j->digests, j->ndigests, i) : 0;
+      depth = st->up ? dir_depth (k->dir, j->prefix_digests,
+                                  j->nprefix_digests, i)
+                     : 0;
       if (depth == 0)
         continue;
       sources[n].store = i;
@@ -140,7 +142,7 @@
 static int64_t
 import_bytes (const struct job *j)
 {
-  return j->choice.import_tokens * j->sc->kv_token_bytes;
+  return j->choice.import_tokens * j->service_cfg->kv_token_bytes;
 }
 
 void
@@ -172,14 +174,15 @@
   g_mutex_lock (&s->route_lock);
   link_end (&st->link, LINK_IMPORT, import_bytes (j), 0);
   if (cached_tokens >= wanted)
-    link_waited (&st->link, j->choice.import_us, now - j->sent_us, now);
+    link_waited (&st->link, j->choice.import_us, now - j->attempt_started_us,
+                 now);
   g_mutex_unlock (&s->route_lock);
   if (cached_tokens >= 0)
     job_log (j, "import",
              "store=%s wanted_tokens=%" G_GINT64_FORMAT
              " found_tokens=%" G_GINT64_FORMAT " took_us=%" G_GINT64_FORMAT,
              st->cfg->id, (gint64)wanted, (gint64)cached_tokens,
-             (gint64)(now - j->sent_us));
+             (gint64)(now - j->attempt_started_us));
 }
 
 static void
@@ -221,7 +224,7 @@
   g_mutex_lock (&s->route_lock);
   for (at = DIR_SEGMENT_BLOCKS; (int64_t)at * BLOCK_TOKENS <= to;
        at += DIR_SEGMENT_BLOCKS)
-    add_segment (names, s->kept, j->digests[at - 1], j->choice.store);
+    add_segment (names, s->kept, j->prefix_digests[at - 1], j->choice.store);
   g_mutex_unlock (&s->route_lock);
   return json_pack ("{s:s,s:I,s:o}", "store",
                     s->kept->stores[j->choice.store].cfg->address, "limit_ms",
--- a/libserver.h
+++ b/libserver.h
@@ -53,12 +53,12 @@
 /* A service as this VM runs it; guarded by lim_lock. */
 struct service
 {
-  const struct cfg_service *cfg; /* declared */
-  int index;                     /* place in the settings */
-  struct fq queue;               /* requests that wait */
-  struct budget budget;          /* retries */
-  int refusals[MAX_REFUSALS];    /* statuses that mean "did not run" */
-  int nrefusals;                 /* entries in refusals */
+  const struct cfg_service *cfg;      /* declared */
+  int index;                          /* place in the settings */
+  struct fq queue;                    /* requests that wait */
+  struct budget budget;               /* retries */
+  int refusal_statuses[MAX_REFUSALS]; /* statuses that mean "did not run" */
+  int nrefusal_statuses;              /* entries in refusals */
 };
 
 /* A workspace as this VM runs it; guarded by lim_lock. */
@@ -84,17 +84,17 @@
   struct store_ops stores;            /* adapter */
   APR_RING_HEAD (job_list, job) jobs; /* live jobs */
   int njobs;                          /* their number */
-  struct loop_timer sweep;            /* deadlines and stalls */
-  struct loop_msg stop;               /* posted to end the loop */
+  struct loop_timer sweep_timer;      /* deadlines and stalls */
+  struct loop_msg stop_msg;           /* posted to end the loop */
 };
 
 struct server
 {
-  struct cfg *cfg;             /* settings in force; atomic, see adopt.c */
-  GList *retired;              /* settings before, freed after a while */
-  struct loop_timer old_timer; /* when */
-  const char *files[SETTINGS_FILES]; /* base and overlay */
-  struct member *member;             /* other VMs; NULL without peers */
+  struct cfg *cfg;                 /* settings in force; atomic, see adopt.c */
+  GList *retired_cfgs;             /* settings before, freed after a while */
+  struct loop_timer retired_timer; /* when */
+  const char *settings_files[SETTINGS_FILES]; /* base and overlay */
+  struct member *member;        /* other VMs; NULL without peers */
   struct conf *conf;            /* changes of settings; NULL without table */
   struct table_ops table;       /* adapter, on the first worker's thread */
   struct worker *workers;       /* all workers */
@@ -102,7 +102,7 @@
   apr_pool_t *pool;             /* lives as long as the server */
   int listen_fd;                /* shared by the workers */
   int phase;                    /* enum phase; atomic */
-  int live;                     /* jobs of all workers; atomic */
+  int live_jobs;                /* jobs of all workers; atomic */
   int64_t body_bytes;           /* request bodies held; atomic */
   int64_t body_bytes_max;       /* their bound; atomic */
   GMutex lim_lock;              /* guards services and workspaces */
@@ -315,17 +315,17 @@
 struct job_caller
 {
   /* The job was made; it may end before its start returns. */
-  void (*began) (void *arg, struct job *j);
+  void (*started) (void *arg, struct job *j);
   /* The job is over: nothing more is said. */
   void (*ended) (void *arg);
   /* The whole reply. */
   void (*reply) (void *arg, const struct reply *reply);
   /* A reply in pieces, and its end. */
   void (*begin) (void *arg, const char *content_type);
-  void (*write) (void *arg, const char *data, size_t len);
+  void (*stream_write) (void *arg, const char *data, size_t len);
   void (*end) (void *arg, bool whole);
   /* Bytes of it that the caller has not taken yet. */
-  size_t (*pending) (void *arg);
+  size_t (*stream_pending) (void *arg);
   /* Look whether the caller hung up, and let it go if so. */
   void (*look) (void *arg);
 };
@@ -352,22 +352,22 @@
 
 enum job_state
 {
-  JOB_QUEUED,    /* waits for a place */
-  JOB_CLAIMING,  /* its claim is being written */
-  JOB_RUNNING,   /* an attempt is at an endpoint */
-  JOB_WAITING,   /* another attempt owns the run: its row is read */
-  JOB_RECORDING, /* its answer is being recorded */
+  JOB_QUEUED,            /* waits for a place */
+  JOB_CLAIMING,          /* its claim is being written */
+  JOB_RUNNING,           /* an attempt is at an endpoint */
+  JOB_WAITING_FOR_OWNER, /* another attempt owns the run: its row is read */
+  JOB_RECORDING,         /* its answer is being recorded */
   JOB_DONE
 };
 
 /* What follows a part of a job's life, filled in by job.c.  The parts call
    this where they would need each other in a circle. */
-struct job_steps
+struct job_callbacks
 {
   /* A place was found at choice.endpoint. */
-  void (*placed) (struct job *j);
+  void (*on_slot_taken) (struct job *j);
   /* The run has its outcome and its reason, and is to be recorded. */
-  void (*ran) (struct job *j);
+  void (*on_outcome) (struct job *j);
   /* Give up before the next attempt; not-run if no attempt ran. */
   void (*refuse) (struct job *j, const char *code, int64_t retry_after_us);
   /* End it. */
@@ -376,147 +376,148 @@
 
 struct job
 {
-  APR_RING_ENTRY (job) link;       /* in its worker's list */
-  struct worker *worker;           /* where it runs */
-  const struct job_caller *caller; /* NULL once the caller is gone */
-  void *caller_arg;                /* passed to its callbacks */
-  const struct job_steps *steps;   /* what follows */
-  char id[ID_SIZE];                /* request id */
-  struct workspace *workspace;     /* whose */
-  struct service *service;         /* asked for */
-  struct cfg *cfg;                 /* settings it started under; a reference */
-  const struct cfg_service *sc;    /* its service there */
-  const struct cfg_workspace *wc;  /* its workspace there */
-  enum job_state state;            /* where it stands */
-  bool model;                      /* a prompt; else a plain call */
-  bool urgent;                     /* goes before other work */
-  struct prompt prompt;            /* of a model request */
-  GString *body;                   /* of a plain call */
-  char *call_path;                 /* of a plain call */
-  char *content_type;              /* of a plain call */
-  int64_t charged;                 /* bytes counted in body_bytes */
-  int64_t arrived_us;              /* when the request was whole */
-  int64_t deadline_us;             /* must have started by then */
-  int64_t cost;                    /* tokens reserved, 1 for a plain call */
-  int64_t max_tokens;              /* tokens to generate */
-  uint64_t *digests;               /* prefix digests of the prompt */
-  int ndigests;                    /* entries in digests */
+  APR_RING_ENTRY (job) link;             /* in its worker's list */
+  struct worker *worker;                 /* where it runs */
+  const struct job_caller *caller;       /* NULL once the caller is gone */
+  void *caller_arg;                      /* passed to its callbacks */
+  const struct job_callbacks *callbacks; /* what follows */
+  char id[ID_SIZE];                      /* request id */
+  struct workspace *workspace;           /* whose */
+  struct service *service;               /* asked for */
+  struct cfg *cfg; /* settings it started under; a reference */
+  const struct cfg_service *service_cfg;     /* its service there */
+  const struct cfg_workspace *workspace_cfg; /* its workspace there */
+  enum job_state state;                      /* where it stands */
+  bool is_model;                             /* a prompt; else a plain call */
+  bool urgent;                               /* goes before other work */
+  struct prompt prompt;                      /* of a model request */
+  GString *body;                             /* of a plain call */
+  char *call_path;                           /* of a plain call */
+  char *content_type;                        /* of a plain call */
+  int64_t charged_bytes;                     /* bytes counted in body_bytes */
+  int64_t arrived_us;                        /* when the request was whole */
+  int64_t deadline_us;                       /* must have started by then */
+  int64_t cost;             /* tokens reserved, 1 for a plain call */
+  int64_t max_tokens;       /* tokens to generate */
+  uint64_t *prefix_digests; /* prefix digests of the prompt */
+  int nprefix_digests;      /* entries in digests */
   char cache_salt[2 * PFX_KEY_BYTES + 1]; /* scope of its cached prefixes */
   struct fq_entry entry;                  /* in the service's queue */
   struct loop_msg msg;                    /* placed, or pushed out */
-  int pending;                      /* messages and operations under way */
-  bool ran;                         /* an attempt may have run */
-  bool admitted;                    /* its tokens were spent */
-  bool holding;                     /* holds a place at choice.endpoint */
-  int64_t held_us;                  /* since when */
-  struct route_choice choice;       /* of the present attempt */
-  bool importing;                   /* the import is under way */
-  int64_t import_wait_us;           /* wait for the link that was expected */
-  int64_t cached_tokens;            /* the engine's own count, -1 if unknown */
-  int failed[MAX_ATTEMPTS];         /* endpoints that failed it */
-  int nfailed;                      /* entries in failed */
-  int attempts;                     /* attempts started */
-  void *call;                       /* at the adapter, NULL if none */
-  char *send_body;                  /* body of the attempt */
-  char **send_headers;              /* headers of the attempt */
-  bool handed_over;                 /* the first byte was let go */
-  const char *stopped;              /* why a callback stopped the attempt */
-  int status;                       /* status of the attempt's reply */
-  char answer_type[80];             /* content type of the reply */
-  GString *answer;                  /* whole answer so far */
-  bool streaming;                   /* the reply is a stream of events */
-  struct strm strm;                 /* the stream over all attempts */
-  bool begun;                       /* part of the stream was passed on */
-  bool paused;                      /* the attempt waits for a slow reader */
-  struct loop_msg unpause;          /* posted when the reader caught up */
-  bool unpausing;                   /* that message is under way */
-  int64_t sent_us;                  /* when the attempt started */
-  int64_t byte_us;                  /* when it last moved */
-  int64_t first_us;                 /* first byte passed on, 0 for none */
-  char *key;                        /* idempotency key, or NULL */
-  char *claim_key;                  /* row of its claim, or NULL */
-  char attempt_id[ATTEMPT_ID_SIZE]; /* who owns the run */
-  char digest[DIGEST_SIZE];         /* of the request, to catch reuse */
-  bool claimed;                     /* this job owns the run */
-  int64_t claimed_us;               /* when the claim was asked for */
-  int64_t claim_version;            /* of its row */
-  struct claim_op *op;              /* operation under way, or NULL */
-  int64_t read_us;                  /* when to read the row again */
-  int64_t read_pause_us;            /* pause before the read after that */
-  enum outcome outcome;             /* kept while the answer is recorded */
-  const char *reason;               /* likewise */
-  int64_t record_until_us;          /* longest wait for the recording */
-  GString *trace;                   /* its log lines, for explanation */
+  int pending_ops;            /* messages and operations under way */
+  bool may_have_run;          /* an attempt may have run */
+  bool admitted;              /* its tokens were spent */
+  bool has_slot;              /* holds a place at choice.endpoint */
+  int64_t slot_taken_us;      /* since when */
+  struct route_choice choice; /* of the present attempt */
+  bool importing;             /* the import is under way */
+  int64_t import_wait_us;     /* wait for the link that was expected */
+  int64_t cached_tokens;      /* the engine's own count, -1 if unknown */
+  int failed_endpoints[MAX_ATTEMPTS]; /* endpoints that failed it */
+  int nfailed;                        /* entries in failed */
+  int attempts;                       /* attempts started */
+  void *call;                         /* at the adapter, NULL if none */
+  char *send_body;                    /* body of the attempt */
+  char **send_headers;                /* headers of the attempt */
+  bool handed_over;                   /* the first byte was let go */
+  const char *stop_reason;            /* why a callback stopped the attempt */
+  int status;                         /* status of the attempt's reply */
+  char answer_type[80];               /* content type of the reply */
+  GString *answer;                    /* whole answer so far */
+  bool streaming;                     /* the reply is a stream of events */
+  struct strm strm;                   /* the stream over all attempts */
+  bool stream_begun;                  /* part of the stream was passed on */
+  bool paused;                        /* the attempt waits for a slow reader */
+  struct loop_msg unpause;            /* posted when the reader caught up */
+  bool unpause_posted;                /* that message is under way */
+  int64_t attempt_started_us;         /* when the attempt started */
+  int64_t progress_us;                /* when it last moved */
+  int64_t first_chunk_us;             /* first byte passed on, 0 for none */
+  char *idempotency_key;              /* idempotency key, or NULL */
+  char *claim_key;                    /* row of its claim, or NULL */
+  char attempt_id[ATTEMPT_ID_SIZE];   /* who owns the run */
+  char request_digest[DIGEST_SIZE];   /* of the request, to catch reuse */
+  bool claimed;                       /* this job owns the run */
+  int64_t claim_requested_us;         /* when the claim was asked for */
+  int64_t claim_version;              /* of its row */
+  struct claim_op *claim_op;          /* operation under way, or NULL */
+  int64_t read_us;                    /* when to read the row again */
+  int64_t read_pause_us;              /* pause before the read after that */
+  enum outcome outcome;               /* kept while the answer is recorded */
+  const char *reason;                 /* likewise */
+  int64_t record_deadline_us;         /* longest wait for the recording */
+  GString *trace;                     /* its log lines, for explanation */
 };
 
 /* Start a job for what DESC holds; NULL, or the code of a refusal where no
    job was made. */
 const char *job_start_prompt (const struct job_desc *desc, bool chat);
 const char *job_start_call (const struct job_desc *desc);
-void job_caller_gone (struct job *j);
+void job_caller_disconnected (struct job *j);
 void job_drained (struct job *j);
 void job_sweep (struct worker *w, int64_t now_us);
 
 /* Its log and its memory (joblog.c). */
 void job_log (struct job *j, const char *event, const char *fmt, ...)
     __attribute__ ((format (printf, 3, 4)));
-void job_charge (struct job *j, int64_t bytes);
-void job_unref (struct job *j);
+void job_charge_memory (struct job *j, int64_t bytes);
+void job_free_if_done (struct job *j);
 
 /* Places and queue (pump.c). */
-const char *place_submit (struct job *j, int64_t now_us,
-                          int64_t *retry_after_us);
-void place_requeue (struct job *j, int64_t now_us);
-bool place_cancel (struct job *j);
-void place_release (struct job *j, int64_t now_us);
-void place_result (struct job *j, enum route_result result, int64_t now_us);
-void place_refund (struct job *j, int64_t tokens);
-bool place_retry (struct job *j);
-void place_pump (struct server *s, struct service *sv, int64_t now_us);
-void place_pump_waiting (struct server *s, int64_t now_us);
+const char *jobsched_submit (struct job *j, int64_t now_us,
+                             int64_t *retry_after_us);
+void jobsched_requeue (struct job *j, int64_t now_us);
+bool jobsched_cancel (struct job *j);
+void jobsched_release_slot (struct job *j, int64_t now_us);
+void jobsched_report_result (struct job *j, enum route_result result,
+                             int64_t now_us);
+void jobsched_refund_tokens (struct job *j, int64_t tokens);
+bool jobsched_spend_retry (struct job *j);
+void jobsched_dispatch (struct server *s, struct service *sv, int64_t now_us);
+void jobsched_dispatch_all (struct server *s, int64_t now_us);
 
 /* Attempts (attempt.c). */
 void attempt_start (struct job *j);
 void attempt_stop (struct job *j);
-void attempt_break (struct job *j, const char *reason);
+void attempt_abort (struct job *j, const char *reason);
 
 /* Claims of a job (jobclaim.c). */
-bool jobclaim_needed (const struct job *j);
+bool jobclaim_is_needed (const struct job *j);
 void jobclaim_start (struct job *j);
 void jobclaim_poll (struct job *j, int64_t now_us);
 void jobclaim_release (struct job *j);
 void jobclaim_record (struct job *j);
-void jobclaim_forget (struct job *j);
+void jobclaim_detach (struct job *j);
 
 /* Replies to the caller (jobreply.c). */
-void jobreply_outcome (struct job *j, enum outcome outcome, const char *reason,
-                       int64_t retry_after_us);
-void jobreply_stream (struct job *j);
+void jobreply_send_outcome (struct job *j, enum outcome outcome,
+                            const char *reason, int64_t retry_after_us);
+void jobreply_begin_stream (struct job *j);
 
 /* --- claims: operations on the table, in groups ---------------------- */
 
 enum claim_op_code
 {
-  CLAIM_OP_DONE,   /* written, or read */
-  CLAIM_OP_EXISTS, /* the condition failed: row and version are set */
-  CLAIM_OP_LOST    /* no reply: it may or may not have been written */
+  CLAIM_OP_DONE,     /* written, or read */
+  CLAIM_OP_CONFLICT, /* the condition failed: row and version are set */
+  CLAIM_OP_NO_REPLY  /* no reply: it may or may not have been written */
 };
 
 /* One operation; freed by the runner after done has run. */
 struct claim_op
 {
   APR_RING_ENTRY (claim_op) link; /* in the runner's queue */
-  bool read;                      /* a read; else a write */
+  bool is_read;                   /* a read; else a write */
   char *key;                      /* row */
   json_t *put;                    /* new content; NULL deletes */
   int64_t version;                /* condition, 0: must not exist */
-  bool persist;                   /* try until the table answers */
+  bool retry_until_reply;         /* try until the table answers */
   int tries;                      /* transactions it was in */
   int64_t due_us;                 /* not before this time */
   enum claim_op_code code;        /* result */
   json_t *row;                    /* row met or read, or NULL */
   int64_t row_version;            /* its version, or the one written */
-  struct loop *home;              /* loop that done runs on */
+  struct loop *home_loop;         /* loop that done runs on */
   struct loop_msg msg;            /* between the loops */
   void (*done) (struct claim_op *op, void *arg); /* may be NULL */
   void *arg;                                     /* passed to done */
@@ -534,7 +535,7 @@
 
 struct claims *claims_new (const struct claims_opts *opts);
 void claims_free (struct claims *c);
-struct claim_op *claims_op (const char *key);
+struct claim_op *claims_op_new (const char *key);
 void claims_submit (struct claims *c, struct claim_op *op);
 
 /* --- history of finished requests ------------------------------------ */
--- a/objc.c
+++ b/objc.c
@@ -65,8 +65,8 @@
 }
 
 void
-objc_ops (struct object_ops *ops, struct xfer_pool *pool, const char *url,
-          int64_t timeout_ms)
+objectclient_init (struct object_ops *ops, struct xfer_pool *pool,
+                   const char *url, int64_t timeout_ms)
 {
   struct store *s = g_new0 (struct store, 1);
 
@@ -79,7 +79,7 @@
 }
 
 void
-objc_clear (struct object_ops *ops)
+objectclient_clear (struct object_ops *ops)
 {
   struct store *s = ops->ctx;
 
--- a/pump.c
+++ b/pump.c
@@ -59,8 +59,9 @@
 {
   struct job *j = arg;
 
-  j->pending--;
-  j->steps->refuse (j, "pushed_out", j->service->queue.hold_us + CQ_US_PER_S);
+  j->pending_ops--;
+  j->callbacks->refuse (j, "pushed_out",
+                        j->service->queue.hold_us + CQ_US_PER_S);
 }
 
 static int
@@ -89,7 +90,7 @@
     }
   j->entry.cost = j->cost;
   /* Work that has started once is not late for its first start any more. */
-  j->entry.deadline_us = j->ran ? G_MAXINT64 : j->deadline_us;
+  j->entry.deadline_us = j->may_have_run ? G_MAXINT64 : j->deadline_us;
   v = fq_push (&j->service->queue, flow_of (j), &j->entry, places, now_us);
   *retry_after_us = v.wait_us + CQ_US_PER_S;
   if (v.code != FQ_QUEUED)
@@ -99,7 +100,7 @@
   if (v.victim != NULL)
     {
       met_add (MET_QUEUED, -1);
-      job_of (v.victim)->pending++;
+      job_of (v.victim)->pending_ops++;
       post (job_of (v.victim), on_pushed_out);
     }
   return NULL;
@@ -107,10 +108,10 @@
 
 /* Admit and queue a job; NULL or the reason of the refusal. */
 const char *
-place_submit (struct job *j, int64_t now_us, int64_t *retry_after_us)
+jobsched_submit (struct job *j, int64_t now_us, int64_t *retry_after_us)
 {
   struct server *s = j->worker->server;
-  int64_t tokens = j->model ? j->cost : 0;
+  int64_t tokens = j->is_model ? j->cost : 0;
   struct lim_verdict v;
   const char *code = NULL;
 
@@ -127,7 +128,7 @@
     }
   g_mutex_unlock (&s->lim_lock);
   if (code == NULL)
-    place_pump (s, j->service, now_us);
+    jobsched_dispatch (s, j->service, now_us);
   return code;
 }
 
@@ -140,7 +141,7 @@
 
 /* Queue a job again for another attempt, or because its place was gone. */
 void
-place_requeue (struct job *j, int64_t now_us)
+jobsched_requeue (struct job *j, int64_t now_us)
 {
   struct server *s = j->worker->server;
   int64_t retry_after = 0;
@@ -150,12 +151,12 @@
   code = enqueue (j, now_us, &retry_after);
   g_mutex_unlock (&s->lim_lock);
   if (code != NULL)
-    j->steps->refuse (j, why_not (j, code), retry_after);
+    j->callbacks->refuse (j, why_not (j, code), retry_after);
 }
 
 /* Take a job out of the queue; false if it was placed meanwhile. */
 bool
-place_cancel (struct job *j)
+jobsched_cancel (struct job *j)
 {
   struct server *s = j->worker->server;
   bool queued;
@@ -171,11 +172,11 @@
 }
 
 void
-place_refund (struct job *j, int64_t tokens)
+jobsched_refund_tokens (struct job *j, int64_t tokens)
 {
   struct server *s = j->worker->server;
 
-  if (!j->model)
+  if (!j->is_model)
     return;
   g_mutex_lock (&s->lim_lock);
   lim_refund (&j->workspace->lim, tokens);
@@ -184,7 +185,7 @@
 
 /* Whether the service's retry budget pays for one more attempt. */
 bool
-place_retry (struct job *j)
+jobsched_spend_retry (struct job *j)
 {
   struct server *s = j->worker->server;
   bool paid;
@@ -206,19 +207,19 @@
   struct route_choice c;
 
   q.weights.first = 100;
-  q.exclude = j->failed;
+  q.exclude = j->failed_endpoints;
   q.nexclude = j->nfailed;
-  if (j->model)
+  if (j->is_model)
     {
-      q.version = j->sc->version;
+      q.version = j->service_cfg->version;
       q.prompt_tokens = j->prompt.prompt_tokens;
       q.block_tokens = PFX_BLOCK_BYTES / WIRE_BYTES_PER_TOKEN;
-      q.weights.first = (int)j->sc->weight_first;
-      q.weights.recompute = (int)j->sc->weight_recompute;
-      q.weights.link = (int)j->sc->weight_link;
+      q.weights.first = (int)j->service_cfg->weight_first;
+      q.weights.recompute = (int)j->service_cfg->weight_recompute;
+      q.weights.link = (int)j->service_cfg->weight_link;
       q.hits = hits;
-      q.nhits
-          = pfx_lookup (s->prefixes, j->digests, j->ndigests, hits, MAX_HITS);
+      q.nhits = pfx_lookup (s->prefixes, j->prefix_digests, j->nprefix_digests,
+                            hits, MAX_HITS);
       q.sources = sources;
       q.nsources = kept_sources (s->kept, j, now_us, sources, MAX_SOURCES);
     }
@@ -228,7 +229,8 @@
       route_sent (s->routes, c.endpoint,
                   q.prompt_tokens - c.cached_tokens - c.import_tokens, now_us);
       pfx_sent (s->prefixes, c.endpoint, q.prompt_tokens - c.cached_tokens);
-      pfx_learn (s->prefixes, j->digests, j->ndigests, c.endpoint);
+      pfx_learn (s->prefixes, j->prefix_digests, j->nprefix_digests,
+                 c.endpoint);
     }
   return c;
 }
@@ -245,7 +247,7 @@
 
 /* Start waiting requests of a service as long as places are free. */
 void
-place_pump (struct server *s, struct service *sv, int64_t now_us)
+jobsched_dispatch (struct server *s, struct service *sv, int64_t now_us)
 {
   struct fq_entry *e;
   struct job *j;
@@ -261,16 +263,16 @@
       if (j != NULL)
         {
           j->choice = pick (s, j, now_us);
-          j->pending++;
-          j->holding = j->choice.code == ROUTE_CHOSEN;
-          if (j->holding)
+          j->pending_ops++;
+          j->has_slot = j->choice.code == ROUTE_CHOSEN;
+          if (j->has_slot)
             kept_import_begin (s->kept, j, now_us);
           else
             fq_finished (flow_of (j));
         }
       g_mutex_unlock (&s->route_lock);
       g_mutex_unlock (&s->lim_lock);
-      more = j != NULL && j->holding;
+      more = j != NULL && j->has_slot;
       if (j != NULL)
         {
           met_add (MET_QUEUED, -1);
@@ -280,7 +282,7 @@
 }
 
 void
-place_pump_waiting (struct server *s, int64_t now_us)
+jobsched_dispatch_all (struct server *s, int64_t now_us)
 {
   int n = cfg_count (server_cfg (s), CFG_SERVICE);
   bool waiting;
@@ -293,33 +295,34 @@
                 || s->services[i].queue.queued[FQ_NORMAL] > 0;
       g_mutex_unlock (&s->lim_lock);
       if (waiting)
-        place_pump (s, &s->services[i], now_us);
+        jobsched_dispatch (s, &s->services[i], now_us);
     }
 }
 
 /* Give the place at the endpoint back. */
 void
-place_release (struct job *j, int64_t now_us)
+jobsched_release_slot (struct job *j, int64_t now_us)
 {
   struct server *s = j->worker->server;
 
-  if (!j->holding)
+  if (!j->has_slot)
     return;
-  j->holding = false;
+  j->has_slot = false;
   met_add (MET_RUNNING, -1);
   g_mutex_lock (&s->lim_lock);
   fq_finished (flow_of (j));
-  fq_held (&j->service->queue, now_us - j->held_us);
+  fq_held (&j->service->queue, now_us - j->slot_taken_us);
   g_mutex_lock (&s->route_lock);
   route_done (s->routes, j->choice.endpoint);
   g_mutex_unlock (&s->route_lock);
   g_mutex_unlock (&s->lim_lock);
-  place_pump (s, j->service, now_us);
+  jobsched_dispatch (s, j->service, now_us);
 }
 
 /* Tell routing how the call to the chosen endpoint went. */
 void
-place_result (struct job *j, enum route_result result, int64_t now_us)
+jobsched_report_result (struct job *j, enum route_result result,
+                        int64_t now_us)
 {
   struct server *s = j->worker->server;
 
@@ -357,22 +360,22 @@
   struct job *j = arg;
   int64_t now = loop_now_us ();
 
-  j->pending--;
-  if (j->holding)
+  j->pending_ops--;
+  if (j->has_slot)
     {
       met_add (MET_RUNNING, 1);
-      j->held_us = now;
+      j->slot_taken_us = now;
     }
   log_choice (j);
   if (j->attempts == 0)
     met_observe (MET_QUEUE_TIME, now - j->arrived_us);
   if (j->caller == NULL)
-    j->steps->refuse (j, "caller_gone", 0);
+    j->callbacks->refuse (j, "caller_gone", 0);
   else if (j->choice.code == ROUTE_BUSY)
-    place_requeue (j, now);
+    jobsched_requeue (j, now);
   else if (j->choice.code != ROUTE_CHOSEN)
-    j->steps->refuse (j, why_not (j, route_code_name (j->choice.code)),
-                      CQ_US_PER_S);
+    j->callbacks->refuse (j, why_not (j, route_code_name (j->choice.code)),
+                          CQ_US_PER_S);
   else
-    j->steps->placed (j);
+    j->callbacks->on_slot_taken (j);
 }
--- a/srv.c
+++ b/srv.c
@@ -58,12 +58,12 @@
   w->loop = loop_new ();
   w->pool = xfer_pool_new (w->loop);
   APR_RING_INIT (&w->jobs, job, link);
-  w->sweep.fire = on_sweep;
-  w->sweep.arg = w;
-  epc_ops (&w->endpoints, w->pool);
+  w->sweep_timer.fire = on_sweep;
+  w->sweep_timer.arg = w;
+  endpointclient_init (&w->endpoints, w->pool);
   storec_ops (&w->stores, w->pool);
   if (p->objects[0] != '\0')
-    objc_ops (&w->objects, w->pool, p->objects, p->timeout_ms);
+    objectclient_init (&w->objects, w->pool, p->objects, p->timeout_ms);
   w->door = api_open (w);
   return w->door != NULL;
 }
@@ -77,7 +77,7 @@
 
   if (p->table[0] == '\0')
     return;
-  tabc_ops (&s->table, s->workers[0].pool, p->table, p->timeout_ms);
+  tableclient_init (&s->table, s->workers[0].pool, p->table, p->timeout_ms);
   o.table = s->table;
   o.batch = (int)p->claim_batch;
   o.linger_us = p->claim_linger_ms * CQ_US_PER_MS;
@@ -104,7 +104,7 @@
 free_worker (struct worker *w)
 {
   xfer_pool_free (w->pool);
-  objc_clear (&w->objects);
+  objectclient_clear (&w->objects);
   loop_free (w->loop);
 }
 
@@ -170,7 +170,7 @@
 {
   int64_t until = loop_now_us () + limit_s * CQ_US_PER_S;
 
-  while (__atomic_load_n (&s->live, __ATOMIC_RELAXED) > 0
+  while (__atomic_load_n (&s->live_jobs, __ATOMIC_RELAXED) > 0
          && loop_now_us () < until)
     sleep_ms (STOP_POLL_MS);
 }
@@ -191,9 +191,9 @@
 
   for (i = 0; i < s->nworkers; i++)
     {
-      s->workers[i].stop.run = on_stop;
-      s->workers[i].stop.arg = &s->workers[i];
-      loop_post (s->workers[i].loop, &s->workers[i].stop);
+      s->workers[i].stop_msg.run = on_stop;
+      s->workers[i].stop_msg.arg = &s->workers[i];
+      loop_post (s->workers[i].loop, &s->workers[i].stop_msg);
     }
   for (i = 0; i < s->nworkers; i++)
     g_thread_join (s->workers[i].thread);
@@ -239,7 +239,8 @@
 check_files (struct server *s)
 {
   g_autoptr (GError) err = NULL;
-  struct cfg *cfg = cfg_load (s->files[0], s->files[1], &err);
+  struct cfg *cfg
+      = cfg_load (s->settings_files[0], s->settings_files[1], &err);
 
   if (cfg == NULL)
     log_event (LOG_LEVEL_ERROR, "reload", "outcome=faulty error=\"%s\"",
@@ -281,7 +282,7 @@
 
   for (i = 0; i < SETTINGS_FILES; i++)
     {
-      struct file_stamp f = stamp_of (s->files[i]);
+      struct file_stamp f = stamp_of (s->settings_files[i]);
 
       changed |= f.inode != stamps[i].inode || f.size != stamps[i].size
                  || f.written.tv_sec != stamps[i].written.tv_sec
@@ -369,7 +370,7 @@
   for (i = 0; i < s->nworkers; i++)
     free_worker (&s->workers[i]);
   g_free (s->workers);
-  tabc_clear (&s->table);
+  tableclient_clear (&s->table);
   g_mutex_clear (&s->lim_lock);
   g_mutex_clear (&s->route_lock);
   close (s->listen_fd);
@@ -391,8 +392,8 @@
   struct server s = { .cfg = cfg, .started_us = loop_now_us () };
   const struct cfg_vm *vm = cfg_vm (cfg);
 
-  s.files[0] = base;
-  s.files[1] = overlay;
+  s.settings_files[0] = base;
+  s.settings_files[1] = overlay;
   log_open (vm->name, vm->domain, (enum log_level)vm->log_level,
             (int)vm->log_lines_s);
   block_signals ();
--- a/state.c
+++ b/state.c
@@ -18,5 +18,5 @@
 {
   __atomic_store_n (&s->phase, (int)phase, __ATOMIC_RELEASE);
   log_event (LOG_LEVEL_INFO, "phase", "phase=%d live=%d", (int)phase,
-             __atomic_load_n (&s->live, __ATOMIC_RELAXED));
+             __atomic_load_n (&s->live_jobs, __ATOMIC_RELAXED));
 }
--- a/tabc.c
+++ b/tabc.c
@@ -177,8 +177,8 @@
 }
 
 void
-tabc_ops (struct table_ops *ops, struct xfer_pool *pool, const char *url,
-          int64_t timeout_ms)
+tableclient_init (struct table_ops *ops, struct xfer_pool *pool,
+                  const char *url, int64_t timeout_ms)
 {
   struct table *t = g_new0 (struct table, 1);
 
@@ -191,7 +191,7 @@
 }
 
 void
-tabc_clear (struct table_ops *ops)
+tableclient_clear (struct table_ops *ops)
 {
   struct table *t = ops->ctx;
 
