--- a/Makefile
+++ b/Makefile
@@ -11,8 +11,8 @@
 # Reading what callers and engines send: pure.
 WIRE = prompt.o strm.o
 SETTINGS = cfg.o cfgval.o settings_gen.o
-SERVER = log.o met.o loop.o xfer.o fetch.o epc.o tabc.o objc.o auth.o refusal.o \
-	hin.o reply.o api.o job.o joblog.o pump.o attempt.o jobclaim.o jobreply.o claims.o \
+SERVER = log.o met.o loop.o xfer.o fetch.o endpointclient.o tableclient.o objectclient.o auth.o refusal.o \
+	hin.o reply.o api.o job.o joblog.o jobsched.o attempt.o jobclaim.o jobreply.o claims.o \
 	history.o poll.o storec.o kept.o export.o adopt.o conf.o confpost.o member.o \
 	peerrpc.o peerbody.o peerseal.o peer_xdr.o adm.o entry.o state.o listen.o srv.o
 # Requests that are passed on: beliefs of the fleet, and each request's life.
--- a/adapter.h
+++ b/adapter.h
@@ -2,8 +2,9 @@
  * What stands outside a VM, each behind one small callback struct.
  *
  * The server reaches endpoints and the platform only through these.  A test
- * or a bench plugs in its own; epc.c, tabc.c and objc.c plug in HTTP.  All
- * calls and callbacks of one struct run on one thread.
+ * or a bench plugs in its own; endpointclient.c, tableclient.c and
+ * objectclient.c plug in HTTP.  All calls and callbacks of one struct run on
+ * one thread.
  */
 #ifndef CQ_ADAPTER_H
 #define CQ_ADAPTER_H
--- a/job.c
+++ b/job.c
@@ -1,7 +1,7 @@
 /*
  * Jobs: the life of one request to a service, from its admission to its end.
  *
- * pump.c finds it a place, attempt.c sends it, jobclaim.c keeps it from
+ * jobsched.c finds it a place, attempt.c sends it, jobclaim.c keeps it from
  * running twice, jobreply.c answers the caller.  What follows what they did is
  * said here, by callbacks: none of them knows this file.
  */
--- a/libserver.h
+++ b/libserver.h
@@ -463,7 +463,7 @@
 void job_charge_memory (struct job *j, int64_t bytes);
 void job_free_if_done (struct job *j);
 
-/* Places and queue (pump.c). */
+/* Places and queue (jobsched.c). */
 const char *jobsched_submit (struct job *j, int64_t now_us,
                              int64_t *retry_after_us);
 void jobsched_requeue (struct job *j, int64_t now_us);
