--- a/jobclaim.c
+++ b/jobclaim.c
@@ -336,7 +336,7 @@
       j->callbacks->finish (j, OUT_UNKNOWN, "caller_gone");
       return;
     }
-  j->read_us = now + j->read_pause_us;
+  j->next_read_us = now + j->read_pause_us;
   j->read_pause_us *= 2;
   if (j->read_pause_us > READ_PAUSE_MAX_US)
     j->read_pause_us = READ_PAUSE_MAX_US;
@@ -402,7 +402,7 @@
       j->callbacks->finish (j, OUT_UNKNOWN, "still_running");
       return;
     }
-  if (j->claim_op != NULL || now_us < j->read_us)
+  if (j->claim_op != NULL || now_us < j->next_read_us)
     return;
   op = claims_op_new (j->claim_key);
   op->is_read = true;
--- a/libserver.h
+++ b/libserver.h
@@ -441,7 +441,7 @@
   int64_t claim_requested_us;         /* when the claim was asked for */
   int64_t claim_version;              /* of its row */
   struct claim_op *claim_op;          /* operation under way, or NULL */
-  int64_t read_us;                    /* when to read the row again */
+  int64_t next_read_us;               /* when to read the row again */
   int64_t read_pause_us;              /* pause before the read after that */
   enum outcome outcome;               /* kept while the answer is recorded */
   const char *reason;                 /* likewise */
