--- a/libserver.h
+++ b/libserver.h
@@ -3,8 +3,8 @@
  *
  * Lock order: lim_lock, then route_lock, then the history's lock, then a
  * loop's mailbox.  No lock is held while a callback, an adapter or a reply is
- * called.  A job and a req belong to one worker's thread; other threads reach
- * them only by messages to that worker's loop.
+ * called.  Only its worker's thread may touch a job or a req; other threads
+ * post messages to that worker's loop.
  */
 #ifndef CQ_LIBSERVER_H
 #define CQ_LIBSERVER_H
@@ -21,12 +21,12 @@
 #include "wire.h"
 #include "xfer.h"
 
-#define ID_SIZE 20          /* bytes of a request id with its NUL */
-#define MAX_ATTEMPTS 16     /* attempts at one request */
-#define MAX_REFUSALS 8      /* refusal statuses of a service */
-#define ATTEMPT_ID_SIZE 100 /* bytes of a claim's attempt id */
-#define DIGEST_SIZE 33      /* bytes of a hex digest with its NUL */
-#define SETTINGS_FILES 2    /* base and overlay */
+#define ID_SIZE 20          /* bytes of a request id, including NUL */
+#define MAX_ATTEMPTS 16     /* attempts for one request */
+#define MAX_REFUSALS 8      /* refusal_statuses of a service */
+#define ATTEMPT_ID_SIZE 100 /* bytes of a claim's attempt id and NUL */
+#define DIGEST_SIZE 33      /* bytes of a hex digest, including NUL */
+#define SETTINGS_FILES 2    /* base file and overlay file */
 
 struct claims;
 struct conf;
@@ -40,171 +40,175 @@
 
 /* --- server ---------------------------------------------------------- */
 
-/* Phases of a VM's life. */
+/* Phases of a VM, from start to stop. */
 enum phase
 {
-  PHASE_STARTING, /* endpoints are not known yet */
+  PHASE_STARTING, /* no load reports of the endpoints yet */
   PHASE_SERVING,
-  PHASE_NOTICE,   /* unhealthy to the balancer, still serving */
-  PHASE_DRAINING, /* new work is refused, running work goes on */
+  PHASE_NOTICE,   /* health check fails, but requests are served */
+  PHASE_DRAINING, /* refuses new requests, finishes running ones */
   PHASE_STOPPED
 };
 
-/* A service as this VM runs it; guarded by lim_lock. */
+/* State of a service on this VM; guarded by lim_lock. */
 struct service
 {
-  const struct cfg_service *cfg;      /* declared */
-  int index;                          /* place in the settings */
-  struct fq queue;                    /* requests that wait */
-  struct budget budget;               /* retries */
-  int refusal_statuses[MAX_REFUSALS]; /* statuses that mean "did not run" */
-  int nrefusal_statuses;              /* entries in refusals */
+  const struct cfg_service *cfg;      /* its settings */
+  int index;                          /* index in the settings */
+  struct fq queue;                    /* queued requests */
+  struct budget budget;               /* retry budget */
+  int refusal_statuses[MAX_REFUSALS]; /* HTTP statuses that mean the call did
+                                         not run */
+  int nrefusal_statuses;              /* entries in refusal_statuses */
 };
 
-/* A workspace as this VM runs it; guarded by lim_lock. */
+/* State of a workspace on this VM; guarded by lim_lock. */
 struct workspace
 {
-  const struct cfg_workspace *cfg; /* declared */
-  int index;                       /* place in the settings */
-  struct lim_workspace lim;        /* limits */
-  struct fq_flow **flows;          /* by service and class, made on demand */
+  const struct cfg_workspace *cfg; /* its settings */
+  int index;                       /* index in the settings */
+  struct lim_workspace lim;        /* rate and token limits */
+  struct fq_flow **flows; /* per service and class, allocated on first use */
 };
 
 /* One worker: a thread with its loop, callers' connections and transfers. */
 struct worker
 {
-  struct server *server;              /* whose worker */
-  int index;                          /* number */
-  GThread *thread;                    /* that runs the loop */
-  struct loop *loop;                  /* events */
-  struct door *door;                  /* callers' connections */
-  struct xfer_pool *pool;             /* transfers to endpoints */
-  struct endpoint_ops endpoints;      /* adapter */
-  struct object_ops objects;          /* adapter; its ctx is NULL if unset */
-  struct store_ops stores;            /* adapter */
+  struct server *server;         /* server that it belongs to */
+  int index;                     /* index in server->workers */
+  GThread *thread;               /* thread that runs the loop */
+  struct loop *loop;             /* event loop */
+  struct door *door;             /* listener for callers' connections */
+  struct xfer_pool *pool;        /* transfers to endpoints and the platform */
+  struct endpoint_ops endpoints; /* adapter for endpoints */
+  struct object_ops
+      objects; /* adapter for the object store; ctx is NULL if unset */
+  struct store_ops stores;            /* adapter for KV stores */
   APR_RING_HEAD (job_list, job) jobs; /* live jobs */
-  int njobs;                          /* their number */
-  struct loop_timer sweep_timer;      /* deadlines and stalls */
+  int njobs;                          /* entries in jobs */
+  struct loop_timer sweep_timer;      /* runs job_sweep while there are jobs */
   struct loop_msg stop_msg;           /* posted to end the loop */
 };
 
 struct server
 {
-  struct cfg *cfg;                 /* settings in force; atomic, see adopt.c */
-  GList *retired_cfgs;             /* settings before, freed after a while */
-  struct loop_timer retired_timer; /* when */
-  const char *settings_files[SETTINGS_FILES]; /* base and overlay */
-  struct member *member;        /* other VMs; NULL without peers */
-  struct conf *conf;            /* changes of settings; NULL without table */
-  struct table_ops table;       /* adapter, on the first worker's thread */
-  struct worker *workers;       /* all workers */
-  int nworkers;                 /* their number */
-  apr_pool_t *pool;             /* lives as long as the server */
-  int listen_fd;                /* shared by the workers */
-  int phase;                    /* enum phase; atomic */
-  int live_jobs;                /* jobs of all workers; atomic */
-  int64_t body_bytes;           /* request bodies held; atomic */
-  int64_t body_bytes_max;       /* their bound; atomic */
-  GMutex lim_lock;              /* guards services and workspaces */
-  struct service *services;     /* by place in the settings */
-  int max_services;             /* entries allocated */
-  struct workspace *workspaces; /* by place in the settings */
-  int max_workspaces;           /* entries allocated */
-  int max_endpoints;            /* entries allocated */
-  int max_stores;               /* entries allocated */
+  struct cfg *cfg;     /* settings in force; atomic, see adopt.c */
+  GList *retired_cfgs; /* replaced settings, freed after OLD_CFG_US */
+  struct loop_timer retired_timer;            /* frees retired_cfgs */
+  const char *settings_files[SETTINGS_FILES]; /* base file and overlay file */
+  struct member *member;    /* membership and other VMs; NULL without peers */
+  struct conf *conf;        /* settings changes; NULL without a table */
+  struct table_ops table;   /* adapter, used on the first worker's thread */
+  struct worker *workers;   /* all workers */
+  int nworkers;             /* entries in workers */
+  apr_pool_t *pool;         /* freed with the server */
+  int listen_fd;            /* listening socket, shared by the workers */
+  int phase;                /* enum phase; atomic */
+  int live_jobs;            /* unfinished jobs of all workers; atomic */
+  int64_t body_bytes;       /* memory held by request bodies; atomic */
+  int64_t body_bytes_max;   /* limit of body_bytes; atomic */
+  GMutex lim_lock;          /* guards services and workspaces */
+  struct service *services; /* by index in the settings */
+  int max_services;         /* allocated entries */
+  struct workspace *workspaces; /* by index in the settings */
+  int max_workspaces;           /* allocated entries */
+  int max_endpoints;            /* allocated entries */
+  int max_stores;               /* allocated entries */
   GMutex route_lock;            /* guards routes and prefixes */
-  struct route_table *routes;   /* endpoints */
-  struct pfx *prefixes;         /* who holds which prompt prefix */
-  struct history *history;      /* finished requests */
-  struct claims *claims;        /* NULL without a table */
-  struct kept *kept;            /* kept work; guarded by route_lock */
-  struct entry *entry;          /* requests that are passed on, or NULL */
-  struct poller *poller;        /* asks endpoints for load reports */
-  int64_t started_us;           /* when the process started */
+  struct route_table *routes;   /* endpoints and their load */
+  struct pfx *prefixes;    /* which endpoints cache which prompt prefixes */
+  struct history *history; /* recently finished requests */
+  struct claims *claims; /* runs operations on claims; NULL without a table */
+  struct kept *kept;     /* KV cache kept in stores; guarded by route_lock */
+  struct entry *entry;   /* relayed requests, or NULL */
+  struct poller *poller; /* polls endpoints for load reports */
+  int64_t started_us;    /* start time of the process */
 };
 
-/* Groups that may be added while the VM runs. */
+/* Settings groups that may be added while the VM runs. */
 #define SPARE_SERVICES 64
 #define SPARE_WORKSPACES 4096
 #define SPARE_ENDPOINTS 1024
 #define SPARE_STORES 64
 
-/* What all threads read of a VM (state.c). */
+/* State of the VM that any thread may read (state.c). */
 enum phase server_phase (struct server *s);
 
-/* Listen on ADDRESS; the descriptor, or -1 after a log line. */
+/* Listens on ADDRESS.  Returns the descriptor, or -1 after logging the error.
+ */
 int server_listen (struct server *s, const char *address);
 
-/* Settings in force; valid on the calling thread until it returns to its loop
-   (and for OLD_CFG_US after they were replaced). */
+/* Returns the settings in force.  The pointer stays valid until the calling
+   thread returns to its event loop, and for OLD_CFG_US after a change
+   replaced the settings. */
 struct cfg *server_cfg (struct server *s);
 
-/* Fill the tables from the settings, the first time and after a change; on
-   the first worker's thread.  False if they do not fit. */
+/* Updates the tables of the server from CFG, at startup and after a change;
+   runs on the first worker's thread.  Returns false if they are too small. */
 bool adopt_settings (struct server *s, struct cfg *cfg);
 void adopt_free (struct server *s);
 void server_set_phase (struct server *s, enum phase phase);
 
 /* --- refusals -------------------------------------------------------- */
 
-/* A stable code, its HTTP status and its sentence. */
+/* A refusal that a caller can get. */
 struct refusal
 {
-  const char *code;    /* in the reply and the log */
+  const char *code;    /* stable code, used in the reply and the log */
   int status;          /* HTTP status */
-  const char *message; /* one sentence for the caller */
+  const char *message; /* sentence for the caller */
 };
 
 const struct refusal *refusal_find (const char *code);
-/* A wait in whole seconds, for Retry-After; rounded up. */
+/* Converts US to whole seconds for Retry-After, rounded up. */
 int refusal_retry_s (int64_t us);
 
-/* --- requests that come in (hin.c) ----------------------------------- */
+/* --- incoming requests (hin.c) --------------------------------------- */
 
 struct door;
 
-/* What a door does with its requests; all on its worker's thread. */
+/* Callbacks of a listener; all run on its worker's thread. */
 struct door_ops
 {
-  /* The head was read: set body_max, or reply at once. */
+  /* The header was read: sets body_max, or replies at once. */
   void (*head) (struct req *r, const char *method);
-  /* The request is whole, or EXCESS says why its body is not. */
+  /* The request is complete, or r->excess tells why its body is not. */
   void (*start) (struct req *r);
-  /* The reader took bytes of a stream; may be NULL. */
+  /* The caller read bytes of a stream; may be NULL. */
   void (*drained) (struct req *r);
-  /* The request ends, whatever became of it; may be NULL. */
+  /* The request ended, whether or not it was answered; may be NULL. */
   void (*gone) (struct req *r);
 };
 
 struct door_opts
 {
   const struct door_ops *ops; /* callbacks */
-  void *owner;                /* for them, as door->owner */
-  int close_from;             /* enum phase from which replies close */
-  unsigned connections;       /* held at once */
-  unsigned idle_s;            /* seconds without a byte */
-  size_t connection_memory;   /* bytes a connection, for head and buffers */
+  void *owner;    /* context for the callbacks, kept in door->owner */
+  int close_from; /* enum phase from which replies close the connection */
+  unsigned connections;     /* maximum number of connections */
+  unsigned idle_s;          /* idle timeout in seconds */
+  size_t connection_memory; /* bytes per connection, for header and buffers */
 };
 
-/* One listening address on one worker. */
+/* A listening address on one worker. */
 struct door
 {
-  struct worker *worker;      /* where it runs */
+  struct worker *worker;      /* worker that it runs on */
   const struct door_ops *ops; /* callbacks */
-  void *owner;                /* of the callbacks */
-  int close_from;             /* enum phase from which replies close */
-  struct MHD_Daemon *daemon;  /* connections */
-  struct loop_fd *fd;         /* its epoll descriptor */
-  struct loop_hook hook;      /* runs it each turn */
-  bool quiesced;              /* accepts no more connections */
+  void *owner;                /* context for the callbacks */
+  int close_from; /* enum phase from which replies close the connection */
+  struct MHD_Daemon *daemon; /* HTTP server */
+  struct loop_fd *fd;        /* epoll descriptor of the daemon */
+  struct loop_hook hook; /* runs the daemon in each iteration of the loop */
+  bool quiesced;         /* accepts no more connections */
 };
 
-/* Why a body was not taken. */
+/* Why a body was rejected. */
 enum req_excess
 {
   EXCESS_NONE,
-  EXCESS_BODY,  /* over the request's own limit */
-  EXCESS_MEMORY /* over what all bodies may take */
+  EXCESS_BODY,  /* exceeds body_max of the request */
+  EXCESS_MEMORY /* exceeds the memory for all bodies */
 };
 
 enum req_key
@@ -214,64 +218,65 @@
   KEY_OPERATOR
 };
 
-/* One entry of the table of paths. */
+/* An entry of the routing table. */
 struct req_route
 {
   const char *method;            /* GET or POST */
-  const char *path;              /* whole path, or prefix ending in "/" */
-  enum req_key auth;             /* whose key is needed */
-  void (*start) (struct req *r); /* called when the request is whole */
+  const char *path;              /* exact path, or prefix ending in "/" */
+  enum req_key auth;             /* kind of key that the caller needs */
+  void (*start) (struct req *r); /* called once the request is complete */
 };
 
-/* A caller's request; belongs to its worker's thread. */
+/* A caller's request; used only on its worker's thread. */
 struct req
 {
-  struct door *door;             /* where it came in */
-  void *work;                    /* of the door's owner */
-  struct worker *worker;         /* where it runs */
+  struct door *door;             /* listener that accepted it */
+  void *work;                    /* state of the listener's owner */
+  struct worker *worker;         /* worker that it runs on */
   struct MHD_Connection *conn;   /* its connection */
-  const struct req_route *route; /* what was asked for */
-  char *target;                  /* path and query as they were sent */
-  bool head_seen;                /* the head was judged */
-  char *path;                    /* whole path, decoded */
-  const char *rest;              /* path behind the route's prefix */
+  const struct req_route *route; /* matching entry of the routing table */
+  char *target;                  /* path and query as sent */
+  bool head_seen;                /* the header was processed */
+  char *path;                    /* complete path, decoded */
+  const char *rest;              /* path after the route's prefix */
   char id[ID_SIZE];              /* request id */
-  int workspace;                 /* index, or -1 */
-  int operator_index;            /* index, or -1 */
+  int workspace;                 /* index of the caller's workspace, or -1 */
+  int operator_index;            /* index of the operator, or -1 */
   GString *body;                 /* request body */
-  size_t body_max;               /* bytes allowed */
-  enum req_excess excess;        /* why the body was not taken */
-  size_t dropped;                /* bytes dropped since then */
-  bool started;                  /* start was called */
-  bool suspended;                /* its connection waits */
-  bool gone;                     /* the caller went away */
-  int64_t arrived_us;            /* when the body was whole */
+  size_t body_max;               /* bytes allowed in the body */
+  enum req_excess excess;        /* why the body was rejected */
+  size_t dropped;                /* bytes of the body discarded after that */
+  bool started;                  /* ops->start was called */
+  bool suspended;                /* its connection is suspended */
+  bool gone;                     /* the caller disconnected */
+  int64_t arrived_us;            /* when the body was complete */
   struct MHD_Response *response; /* reply to queue */
   int status;                    /* its HTTP status */
   bool queued;                   /* the reply was queued */
-  GString *out;                  /* stream bytes not yet written */
-  size_t out_used;               /* of these, already written */
-  bool out_end;                  /* no more will come */
-  bool out_broken;               /* the stream ends visibly broken */
-  struct job *job;               /* the work it asked for, or NULL */
+  GString *out;                  /* stream bytes to write */
+  size_t out_used;               /* bytes of out already written */
+  bool out_end;                  /* the stream has ended */
+  bool out_broken;               /* close the stream without its last chunk */
+  struct job *job;               /* job that runs the request, or NULL */
 };
 
-/* What a reply says besides its body. */
+/* A complete reply. */
 struct reply
 {
   int status;               /* HTTP status */
-  const char *content_type; /* of the body */
-  const char *body;         /* copied */
+  const char *content_type; /* content type of the body */
+  const char *body;         /* body; copied */
   size_t len;               /* bytes of the body */
-  const char *outcome;      /* for Camphorquay-Outcome */
-  int retry_after_s;        /* for Retry-After, 0 for none */
+  const char *outcome;      /* value of Camphorquay-Outcome */
+  int retry_after_s;        /* value of Retry-After, 0 for none */
 };
 
 typedef void (*req_header_fn) (void *arg, const char *name, const char *value);
 
 const char *req_header (struct req *r, const char *name);
 void req_each_header (struct req *r, req_header_fn fn, void *arg);
-/* Take over the body, which counts as held until it is freed. */
+/* Transfers ownership of the body to the caller.  It counts towards
+   body_bytes until req_free_body. */
 GString *req_take_body (struct req *r);
 void req_free_body (struct server *s, GString *body);
 void req_set_idle (struct req *r, unsigned idle_s);
@@ -290,11 +295,11 @@
 void door_quiesce (struct door *d);
 void door_close (struct door *d);
 
-/* --- the product's own interface (api.c) ----------------------------- */
+/* --- HTTP interface for callers and operators (api.c) ---------------- */
 
 struct door *api_open (struct worker *w);
 
-/* --- replies of it (reply.c) ----------------------------------------- */
+/* --- replies of that interface (reply.c) ----------------------------- */
 
 void req_reply (struct req *r, const struct reply *reply);
 void req_reply_json (struct req *r, int status, json_t *doc);
@@ -307,163 +312,168 @@
 bool auth_matches (char *const *hashes, const char *secret);
 char *auth_name (const char *bearer, const char **secret);
 
-/* --- who asks for a job ---------------------------------------------- */
+/* --- callers of jobs ------------------------------------------------- */
 
 struct job;
 
-/* What goes back to a caller, however it came; all on its worker's thread. */
+/* How a job reports to its caller, independent of the interface that the
+   request came through; all callbacks run on its worker's thread. */
 struct job_caller
 {
-  /* The job was made; it may end before its start returns. */
+  /* The job was created; it may end before job_start_* returns. */
   void (*started) (void *arg, struct job *j);
-  /* The job is over: nothing more is said. */
+  /* The job ended; no further callback follows. */
   void (*ended) (void *arg);
-  /* The whole reply. */
+  /* Sends a complete reply. */
   void (*reply) (void *arg, const struct reply *reply);
-  /* A reply in pieces, and its end. */
+  /* Send a streamed reply; WHOLE is false if it was cut off. */
   void (*begin) (void *arg, const char *content_type);
   void (*stream_write) (void *arg, const char *data, size_t len);
   void (*end) (void *arg, bool whole);
-  /* Bytes of it that the caller has not taken yet. */
+  /* Returns the bytes of the stream that the caller has not read yet. */
   size_t (*stream_pending) (void *arg);
-  /* Look whether the caller hung up, and let it go if so. */
+  /* Closes the request if the caller disconnected. */
   void (*look) (void *arg);
 };
 
-/* A request as its door describes it; needed only while the job starts. */
+/* Describes the request that a job is to run; used only while it starts. */
 struct job_desc
 {
-  struct worker *worker;           /* where it runs */
-  int workspace;                   /* index of who asks */
+  struct worker *worker;           /* worker that it runs on */
+  int workspace;                   /* index of the caller's workspace */
   const char *id;                  /* request id */
-  int64_t arrived_us;              /* when it was whole */
+  int64_t arrived_us;              /* when the request was complete */
   const char *key;                 /* idempotency key, or NULL */
-  const char *priority;            /* as the caller named it, or NULL */
-  const char *deadline_ms;         /* as the caller named it, or NULL */
+  const char *priority;            /* priority header, or NULL */
+  const char *deadline_ms;         /* deadline header, or NULL */
   const char *path;                /* of a plain call: SERVICE/PATH */
-  const char *content_type;        /* of its body, or NULL */
-  const char *body;                /* whole */
+  const char *content_type;        /* content type of the body, or NULL */
+  const char *body;                /* request body */
   size_t body_len;                 /* bytes of body */
   const struct job_caller *caller; /* callbacks */
   void *arg;                       /* passed to them */
 };
 
-/* --- jobs: the life of one request to a service ---------------------- */
+/* --- jobs: one request to a service, from admission to reply --------- */
 
 enum job_state
 {
-  JOB_QUEUED,            /* waits for a place */
-  JOB_CLAIMING,          /* its claim is being written */
-  JOB_RUNNING,           /* an attempt is at an endpoint */
-  JOB_WAITING_FOR_OWNER, /* another attempt owns the run: its row is read */
-  JOB_RECORDING,         /* its answer is being recorded */
+  JOB_QUEUED,            /* waits for a slot */
+  JOB_CLAIMING,          /* its claim is being written, or an answer fetched */
+  JOB_RUNNING,           /* an attempt is running at an endpoint */
+  JOB_WAITING_FOR_OWNER, /* polls the row of the attempt that owns the call */
+  JOB_RECORDING,         /* the answer is being recorded */
   JOB_DONE
 };
 
-/* What follows a part of a job's life, filled in by job.c.  The parts call
-   this where they would need each other in a circle. */
+/* State transitions that job.c provides to the other job modules, which
+   would otherwise have circular dependencies. */
 struct job_callbacks
 {
-  /* A place was found at choice.endpoint. */
+  /* The job got a slot at choice.endpoint. */
   void (*on_slot_taken) (struct job *j);
-  /* The run has its outcome and its reason, and is to be recorded. */
+  /* A claimed call has its outcome and reason, which are to be recorded. */
   void (*on_outcome) (struct job *j);
-  /* Give up before the next attempt; not-run if no attempt ran. */
+  /* Ends the job before its next attempt; not-run if no attempt ran. */
   void (*refuse) (struct job *j, const char *code, int64_t retry_after_us);
-  /* End it. */
+  /* Ends the job. */
   void (*finish) (struct job *j, enum outcome outcome, const char *reason);
 };
 
 struct job
 {
-  APR_RING_ENTRY (job) link;             /* in its worker's list */
-  struct worker *worker;                 /* where it runs */
-  const struct job_caller *caller;       /* NULL once the caller is gone */
-  void *caller_arg;                      /* passed to its callbacks */
-  const struct job_callbacks *callbacks; /* what follows */
+  APR_RING_ENTRY (job) link; /* in its worker's list */
+  struct worker *worker;     /* worker that it runs on */
+  const struct job_caller
+      *caller;      /* callbacks; NULL once the caller disconnected */
+  void *caller_arg; /* argument of these callbacks */
+  const struct job_callbacks *callbacks; /* state transitions */
   char id[ID_SIZE];                      /* request id */
-  struct workspace *workspace;           /* whose */
-  struct service *service;               /* asked for */
-  struct cfg *cfg; /* settings it started under; a reference */
-  const struct cfg_service *service_cfg;     /* its service there */
-  const struct cfg_workspace *workspace_cfg; /* its workspace there */
-  enum job_state state;                      /* where it stands */
-  bool is_model;                             /* a prompt; else a plain call */
-  bool urgent;                               /* goes before other work */
-  struct prompt prompt;                      /* of a model request */
-  GString *body;                             /* of a plain call */
-  char *call_path;                           /* of a plain call */
-  char *content_type;                        /* of a plain call */
-  int64_t charged_bytes;                     /* bytes counted in body_bytes */
-  int64_t arrived_us;                        /* when the request was whole */
-  int64_t deadline_us;                       /* must have started by then */
-  int64_t cost;             /* tokens reserved, 1 for a plain call */
-  int64_t max_tokens;       /* tokens to generate */
-  uint64_t *prefix_digests; /* prefix digests of the prompt */
-  int nprefix_digests;      /* entries in digests */
+  struct workspace *workspace;           /* workspace of the caller */
+  struct service *service;               /* requested service */
+  struct cfg *cfg; /* settings at its start; holds a reference */
+  const struct cfg_service *service_cfg; /* settings of the service, in cfg */
+  const struct cfg_workspace
+      *workspace_cfg;       /* settings of the workspace, in cfg */
+  enum job_state state;     /* current state */
+  bool is_model;            /* a model request; else a plain call */
+  bool urgent;              /* has priority over normal requests */
+  struct prompt prompt;     /* request to the model */
+  GString *body;            /* body of a plain call */
+  char *call_path;          /* path of a plain call */
+  char *content_type;       /* content type of a plain call */
+  int64_t charged_bytes;    /* its share of server->body_bytes */
+  int64_t arrived_us;       /* when the request was complete */
+  int64_t deadline_us;      /* latest time for its first attempt */
+  int64_t cost;             /* tokens reserved; 1 for a plain call */
+  int64_t max_tokens;       /* maximum number of tokens to generate */
+  uint64_t *prefix_digests; /* digests of the prompt's prefixes */
+  int nprefix_digests;      /* entries in prefix_digests */
   char cache_salt[2 * PFX_KEY_BYTES + 1]; /* scope of its cached prefixes */
-  struct fq_entry entry;                  /* in the service's queue */
-  struct loop_msg msg;                    /* placed, or pushed out */
-  int pending_ops;            /* messages and operations under way */
+  struct fq_entry entry;                  /* entry in the service's queue */
+  struct loop_msg msg;        /* posted when it is scheduled or evicted */
+  int pending_ops;            /* messages and operations not yet completed */
   bool may_have_run;          /* an attempt may have run */
-  bool admitted;              /* its tokens were spent */
-  bool has_slot;              /* holds a place at choice.endpoint */
-  int64_t slot_taken_us;      /* since when */
-  struct route_choice choice; /* of the present attempt */
-  bool importing;             /* the import is under way */
-  int64_t import_wait_us;     /* wait for the link that was expected */
-  int64_t cached_tokens;      /* the engine's own count, -1 if unknown */
-  int failed_endpoints[MAX_ATTEMPTS]; /* endpoints that failed it */
-  int nfailed;                        /* entries in failed */
+  bool admitted;              /* its tokens were charged to the workspace */
+  bool has_slot;              /* holds a slot at choice.endpoint */
+  int64_t slot_taken_us;      /* when it got the slot */
+  struct route_choice choice; /* endpoint of the current attempt */
+  bool importing;             /* an import of KV cache is running */
+  int64_t import_wait_us;     /* expected wait for the store's link */
+  int64_t cached_tokens;      /* as counted by the engine, -1 if unknown */
+  int failed_endpoints[MAX_ATTEMPTS]; /* endpoints of failed attempts */
+  int nfailed;                        /* entries in failed_endpoints */
   int attempts;                       /* attempts started */
-  void *call;                         /* at the adapter, NULL if none */
-  char *send_body;                    /* body of the attempt */
-  char **send_headers;                /* headers of the attempt */
-  bool handed_over;                   /* the first byte was let go */
+  void *call;                         /* handle of the adapter, NULL if none */
+  char *send_body;                    /* request body of the attempt */
+  char **send_headers;                /* request headers of the attempt */
+  bool handed_over;                   /* the attempt may have sent bytes */
   const char *stop_reason;            /* why a callback stopped the attempt */
-  int status;                         /* status of the attempt's reply */
+  int status;                         /* HTTP status of the attempt's reply */
   char answer_type[80];               /* content type of the reply */
-  GString *answer;                    /* whole answer so far */
-  bool streaming;                     /* the reply is a stream of events */
-  struct strm strm;                   /* the stream over all attempts */
-  bool stream_begun;                  /* part of the stream was passed on */
-  bool paused;                        /* the attempt waits for a slow reader */
-  struct loop_msg unpause;            /* posted when the reader caught up */
-  bool unpause_posted;                /* that message is under way */
-  int64_t attempt_started_us;         /* when the attempt started */
-  int64_t progress_us;                /* when it last moved */
-  int64_t first_chunk_us;             /* first byte passed on, 0 for none */
-  char *idempotency_key;              /* idempotency key, or NULL */
-  char *claim_key;                    /* row of its claim, or NULL */
-  char attempt_id[ATTEMPT_ID_SIZE];   /* who owns the run */
-  char request_digest[DIGEST_SIZE];   /* of the request, to catch reuse */
-  bool claimed;                       /* this job owns the run */
-  int64_t claim_requested_us;         /* when the claim was asked for */
-  int64_t claim_version;              /* of its row */
-  struct claim_op *claim_op;          /* operation under way, or NULL */
-  int64_t next_read_us;               /* when to read the row again */
-  int64_t read_pause_us;              /* pause before the read after that */
-  enum outcome outcome;               /* kept while the answer is recorded */
-  const char *reason;                 /* likewise */
-  int64_t record_deadline_us;         /* longest wait for the recording */
-  GString *trace;                     /* its log lines, for explanation */
+  GString *answer;                    /* reply body received so far */
+  bool streaming;                     /* the reply is an event stream */
+  struct strm strm;                   /* state of the stream across attempts */
+  bool stream_begun;          /* part of the stream was sent to the caller */
+  bool paused;                /* the attempt is paused for a slow caller */
+  struct loop_msg unpause;    /* posted once the caller has caught up */
+  bool unpause_posted;        /* unpause has not run yet */
+  int64_t attempt_started_us; /* when the attempt started */
+  int64_t progress_us;        /* last progress of the attempt */
+  int64_t first_chunk_us;     /* when the first chunk was sent, 0 for none */
+  char *idempotency_key;      /* from the request, or NULL */
+  char *claim_key;            /* row key of its claim, or NULL */
+  char attempt_id[ATTEMPT_ID_SIZE]; /* identifies the owner of the claim */
+  char request_digest[DIGEST_SIZE]; /* detects reuse of a key for another
+                                       request */
+  bool claimed;                     /* this job owns the claim */
+  int64_t claim_requested_us; /* when the write of the claim was requested */
+  int64_t claim_version;      /* version of the claim's row */
+  struct claim_op *claim_op;  /* operation in progress, or NULL */
+  int64_t next_read_us;       /* when to read the claim's row again */
+  int64_t read_pause_us;      /* pause before the read after that */
+  enum outcome outcome;       /* outcome being recorded */
+  const char *reason;         /* reason being recorded */
+  int64_t
+      record_deadline_us; /* longest wait of the caller for the recording */
+  GString *trace;         /* its log lines, to explain the request */
 };
 
-/* Start a job for what DESC holds; NULL, or the code of a refusal where no
-   job was made. */
+/* Start a job for DESC.  Return NULL, or the code of a refusal if no job was
+   created. */
 const char *job_start_prompt (const struct job_desc *desc, bool chat);
 const char *job_start_call (const struct job_desc *desc);
 void job_caller_disconnected (struct job *j);
 void job_drained (struct job *j);
 void job_sweep (struct worker *w, int64_t now_us);
 
-/* Its log and its memory (joblog.c). */
+/* Logging and memory of jobs (joblog.c). */
 void job_log (struct job *j, const char *event, const char *fmt, ...)
     __attribute__ ((format (printf, 3, 4)));
 void job_charge_memory (struct job *j, int64_t bytes);
 void job_free_if_done (struct job *j);
 
-/* Places and queue (jobsched.c). */
+/* Scheduling: queue and slots (jobsched.c). */
 const char *jobsched_submit (struct job *j, int64_t now_us,
                              int64_t *retry_after_us);
 void jobsched_requeue (struct job *j, int64_t now_us);
@@ -494,43 +504,43 @@
                             const char *reason, int64_t retry_after_us);
 void jobreply_begin_stream (struct job *j);
 
-/* --- claims: operations on the table, in groups ---------------------- */
+/* --- claims: batched operations on the table ------------------------- */
 
 enum claim_op_code
 {
-  CLAIM_OP_DONE,     /* written, or read */
-  CLAIM_OP_CONFLICT, /* the condition failed: row and version are set */
-  CLAIM_OP_NO_REPLY  /* no reply: it may or may not have been written */
+  CLAIM_OP_DONE,     /* written or read */
+  CLAIM_OP_CONFLICT, /* condition failed; row and row_version are set */
+  CLAIM_OP_NO_REPLY  /* no reply; it may have been written */
 };
 
-/* One operation; freed by the runner after done has run. */
+/* A read or write of a row; freed after done has run. */
 struct claim_op
 {
   APR_RING_ENTRY (claim_op) link; /* in the runner's queue */
   bool is_read;                   /* a read; else a write */
-  char *key;                      /* row */
-  json_t *put;                    /* new content; NULL deletes */
-  int64_t version;                /* condition, 0: must not exist */
-  bool retry_until_reply;         /* try until the table answers */
-  int tries;                      /* transactions it was in */
-  int64_t due_us;                 /* not before this time */
-  enum claim_op_code code;        /* result */
-  json_t *row;                    /* row met or read, or NULL */
-  int64_t row_version;            /* its version, or the one written */
-  struct loop *home_loop;         /* loop that done runs on */
-  struct loop_msg msg;            /* between the loops */
+  char *key;                      /* row key */
+  json_t *put;                    /* new value; NULL deletes the row */
+  int64_t version; /* version that the row must have; 0: must not exist */
+  bool retry_until_reply;  /* retried until the table replies */
+  int tries;               /* attempts so far */
+  int64_t due_us;          /* earliest time of the next attempt */
+  enum claim_op_code code; /* result */
+  json_t *row;             /* row that was read or in conflict, or NULL */
+  int64_t row_version;     /* version of row, or the one written */
+  struct loop *home_loop;  /* loop that done runs on */
+  struct loop_msg msg;     /* carries the operation between the loops */
   void (*done) (struct claim_op *op, void *arg); /* may be NULL */
   void *arg;                                     /* passed to done */
-  struct claims *claims;                         /* its runner */
+  struct claims *claims; /* runner that it was submitted to */
 };
 
 struct claims_opts
 {
-  struct loop *loop;      /* that the runner runs on */
+  struct loop *loop;      /* loop that the runner uses */
   struct table_ops table; /* adapter */
-  int batch;              /* writes in one transaction */
-  int64_t linger_us;      /* wait for others to share one */
-  int tries;              /* transactions before a write counts as lost */
+  int batch;              /* maximum number of writes in a transaction */
+  int64_t linger_us;      /* how long a write waits for others to join it */
+  int tries;              /* attempts before a write counts as lost */
 };
 
 struct claims *claims_new (const struct claims_opts *opts);
@@ -544,10 +554,11 @@
 void history_free (struct history *h);
 void history_add (struct history *h, const struct job *j, enum outcome outcome,
                   const char *reason, int64_t now_us);
-/* A request's record as JSON, or NULL; WORKSPACE -1 finds any. */
+/* Returns the record of request ID as JSON, or NULL; WORKSPACE -1 matches
+   requests of all workspaces. */
 json_t *history_get (struct history *h, const char *id, int workspace);
 
-/* --- kept work (kept.c, export.c) ------------------------------------ */
+/* --- KV cache kept in stores (kept.c, export.c) ---------------------- */
 
 struct kept *kept_new (struct server *s, struct cfg *cfg);
 void kept_adopt (struct kept *k, struct cfg *cfg);
@@ -555,16 +566,19 @@
 void kept_start (struct kept *k, struct worker *w);
 void kept_stop (struct kept *k);
 
-/* Under route_lock: stores that hold a head of J's prompt. */
+/* Under route_lock: finds the stores that hold a prefix of J's prompt;
+   returns how many. */
 int kept_sources (struct kept *k, struct job *j, int64_t now_us,
                   struct plan_source *sources, int max);
-/* Under route_lock: note that J imports what its choice says. */
+/* Under route_lock: records that J starts the import in its choice. */
 void kept_import_begin (struct kept *k, struct job *j, int64_t now_us);
-/* The import ended with the first event, which said CACHED tokens. */
+/* The import ended with the first event, which reported CACHED_TOKENS; -1 if
+   unknown. */
 void kept_import_end (struct job *j, int64_t cached_tokens);
-/* What the engine is told to import, or NULL. */
+/* Returns the import instructions for the engine, or NULL. */
 json_t *kept_import_order (struct job *j);
-/* J was answered: learn from it, and keep what is worth it. */
+/* J was answered: updates the estimates, and exports its KV cache if that is
+   worth the cost. */
 void kept_answered (struct job *j);
 json_t *kept_list (struct server *s);
 
@@ -581,14 +595,16 @@
 struct member *member_new (struct server *s, GError **err);
 void member_free (struct member *m);
 void member_stop (struct member *m);
-/* On the first worker's thread: the phase or the settings' revision changed.
- */
+/* Announces a change of phase or settings revision; on the first worker's
+   thread. */
 void member_say (struct member *m, uint64_t revision);
-/* Whether this VM is one of N of its domain to do the job KEY. */
+/* Returns true if this VM is among the N VMs of its domain that are
+   responsible for the task KEY. */
 bool member_mine (struct member *m, const char *key, int n);
-/* Ask up to MAX live VMs for changes after REVISION; returns how many. */
+/* Requests the changes after REVISION from up to MAX live VMs; returns how
+   many were asked. */
 int member_ask_changes (struct member *m, uint64_t revision, int max);
-/* Highest revision that a live VM is known to have. */
+/* Returns the highest revision that a live VM is known to have. */
 uint64_t member_revision (struct member *m);
 int member_live (struct member *m);
 bool member_expected (struct member *m);
@@ -596,23 +612,24 @@
 json_t *member_list (struct member *m);
 void member_cut (struct member *m, const char *prefix);
 
-/* --- changes of settings (conf.c) --- */
+/* --- settings changes (conf.c) --- */
 
 struct conf *conf_new (struct server *s);
 void conf_free (struct conf *c);
 void conf_start (struct conf *c);
 void conf_stop (struct conf *c);
 uint64_t conf_revision (struct conf *c);
-/* Any thread: changes after REVISION, as texts; returns how many. */
+/* Copies the texts of the changes after REVISION; returns how many.  Any
+   thread. */
 int conf_after (struct conf *c, uint64_t revision, char **texts,
                 uint64_t *revisions, int max);
 /* On the first worker's thread. */
 void conf_hear_change (struct conf *c, uint64_t revision, const char *text);
 void conf_hear_revision (struct conf *c, uint64_t revision);
-/* Somebody says that REVISION was the newest at AT_US. */
+/* A VM or the table confirmed that REVISION was the newest at AT_US. */
 void conf_confirmed (struct conf *c, uint64_t revision, int64_t at_us);
-/* Any thread: the revision in force, and for how long it is not confirmed; -1
-   if it never was. */
+/* Sets *REVISION to the revision in force and returns the time since it was
+   last confirmed as the newest, or -1 if it never was.  Any thread. */
 int64_t conf_age_ms (struct conf *c, uint64_t *revision, int64_t now_us);
 bool conf_ready (struct conf *c);
 bool conf_stale (struct conf *c, int64_t now_us);
