--- a/attempt.c
+++ b/attempt.c
@@ -1,4 +1,4 @@
-/* Attempts: one request at one endpoint, judged when it ends. */
+/* Attempts: sends a request to one endpoint and evaluates how that ended. */
 #include "libserver.h"
 
 #include <string.h>
@@ -6,10 +6,10 @@
 #define CONTENT_TYPE "content-type:"
 #define EVENT_STREAM "text/event-stream"
 
-/* --- what is sent ---------------------------------------------------- */
+/* --- request --------------------------------------------------------- */
 
 static void
-build_model_call (struct job *j, GStrvBuilder *headers)
+build_model_request (struct job *j, GStrvBuilder *headers)
 {
   struct prompt_extra extra = { .urgent = j->urgent };
 
@@ -26,14 +26,14 @@
 }
 
 static void
-build_plain_call (struct job *j, GStrvBuilder *headers)
+build_plain_request (struct job *j, GStrvBuilder *headers)
 {
   g_autofree char *type
       = g_strconcat ("Content-Type: ", j->content_type, NULL);
   g_autofree char *key = NULL;
 
   g_strv_builder_add (headers, type);
-  /* Scoped by workspace: two customers may choose the same key. */
+  /* Scoped by workspace, since two workspaces may choose the same key. */
   if (j->idempotency_key != NULL && j->service_cfg->deduplicates)
     {
       key = g_strdup_printf ("Idempotency-Key: %s/%s", j->workspace_cfg->id,
@@ -43,7 +43,7 @@
 }
 
 static const char *
-path_of (const struct job *j)
+request_path (const struct job *j)
 {
   if (!j->is_model)
     return j->call_path;
@@ -51,7 +51,7 @@
 }
 
 static void
-build (struct job *j)
+build_request (struct job *j)
 {
   GStrvBuilder *headers = g_strv_builder_new ();
   g_autofree char *attempt
@@ -61,19 +61,19 @@
   j->send_body = NULL;
   g_strfreev (j->send_headers);
   if (j->is_model)
-    build_model_call (j, headers);
+    build_model_request (j, headers);
   else
-    build_plain_call (j, headers);
+    build_plain_request (j, headers);
   g_strv_builder_add (headers, attempt);
   j->send_headers = g_strv_builder_end (headers);
   g_strv_builder_unref (headers);
 }
 
-/* --- what happens under way ------------------------------------------ */
+/* --- callbacks of the transfer --------------------------------------- */
 
 /*
- * The last moment before the first byte leaves.  A worker that was paused may
- * come here long after its claim or the caller's deadline.
+ * Last check before the first byte is sent: a worker thread that was suspended
+ * may get here long after its claim was made or the caller's deadline passed.
  */
 static bool
 before_send (void *arg)
@@ -108,7 +108,7 @@
 }
 
 static bool
-is_refusal (const struct job *j, int status)
+is_refusal_status (const struct job *j, int status)
 {
   int i;
 
@@ -119,14 +119,14 @@
 }
 
 static size_t
-buffer_bytes (const struct job *j)
+stream_buffer_bytes (const struct job *j)
 {
   return (size_t)cfg_vm (server_cfg (j->worker->server))->stream_buffer_kb
          * 1024;
 }
 
 static void
-note_first (struct job *j)
+record_first_chunk (struct job *j)
 {
   if (j->cached_tokens < 0)
     j->cached_tokens = j->strm.cached;
@@ -138,7 +138,7 @@
 }
 
 static const char *
-stream_fault (enum strm_code code)
+stream_error (enum strm_code code)
 {
   switch (code)
     {
@@ -155,9 +155,9 @@
   return "bad_stream";
 }
 
-/* Pass whole events on; the first one starts the caller's reply. */
+/* Forwards complete events; the first one starts the reply to the caller. */
 static enum xfer_take
-take_stream (struct job *j, const char *data, size_t len)
+relay_stream (struct job *j, const char *data, size_t len)
 {
   g_autoptr (GString) events = g_string_new (NULL);
   int64_t before = j->strm.tokens;
@@ -165,8 +165,9 @@
 
   if (j->strm.done)
     return XFER_TAKEN;
-  /* A reader that is slower than the engine must not fill the memory. */
-  if (j->caller->stream_pending (j->caller_arg) > buffer_bytes (j))
+  /* A caller that reads more slowly than the engine writes must not make the
+     buffer grow without bound. */
+  if (j->caller->stream_pending (j->caller_arg) > stream_buffer_bytes (j))
     {
       j->paused = true;
       return XFER_PAUSE;
@@ -174,18 +175,18 @@
   code = strm_feed (&j->strm, j->attempts, data, len, events);
   if (events->len > 0)
     {
-      note_first (j);
+      record_first_chunk (j);
       if (!j->stream_begun)
         jobreply_begin_stream (j);
       j->caller->stream_write (j->caller_arg, events->str, events->len);
       met_add (MET_TOKENS, j->strm.tokens - before);
     }
-  j->stop_reason = stream_fault (code);
+  j->stop_reason = stream_error (code);
   return j->stop_reason == NULL ? XFER_TAKEN : XFER_STOP;
 }
 
 static enum xfer_take
-take_whole (struct job *j, const char *data, size_t len)
+append_answer (struct job *j, const char *data, size_t len)
 {
   size_t max
       = (size_t)cfg_vm (server_cfg (j->worker->server))->answer_max_kb * 1024;
@@ -209,15 +210,15 @@
   j->streaming = j->is_model && j->prompt.stream && status == 200
                  && g_str_has_prefix (j->answer_type, EVENT_STREAM);
   if (j->streaming && j->caller != NULL)
-    return take_stream (j, data, len);
-  return take_whole (j, data, len);
+    return relay_stream (j, data, len);
+  return append_answer (j, data, len);
 }
 
-/* --- how it ends ----------------------------------------------------- */
+/* --- end of an attempt ----------------------------------------------- */
 
-/* A whole model answer must come from the weight version asked for. */
+/* Checks that a complete model answer is from the requested weight version. */
 static bool
-version_fits (struct job *j)
+is_version_expected (struct job *j)
 {
   char version[WIRE_VERSION_MAX];
 
@@ -230,26 +231,27 @@
 }
 
 static enum send_state
-send_state_of (struct job *j, const struct xfer_end *end)
+attempt_send_state (struct job *j, const struct xfer_end *end)
 {
   if (!end->handed_over)
     return SEND_NONE;
   if (end->status == 0)
     return SEND_PARTIAL;
-  if (end->whole && is_refusal (j, end->status))
+  if (end->whole && is_refusal_status (j, end->status))
     return SEND_REFUSED;
-  if (!end->whole || (j->streaming && !j->strm.done) || !version_fits (j))
+  if (!end->whole || (j->streaming && !j->strm.done)
+      || !is_version_expected (j))
     return SEND_REPLIED;
   return SEND_WHOLE;
 }
 
 static struct out_verdict
-judge (struct job *j, enum send_state sent, bool attempts_left)
+evaluate (struct job *j, enum send_state sent, bool attempts_left)
 {
   const struct cfg_service *c = j->service_cfg;
   struct out_facts f = { .sent = sent, .status = j->status };
 
-  /* An endpoint that runs a key once may be asked again with that key. */
+  /* An endpoint that deduplicates by key may get the same call again. */
   f.repeatable
       = c->repeatable || (c->deduplicates && j->idempotency_key != NULL);
   f.ran_before = j->may_have_run;
@@ -263,41 +265,41 @@
 static bool
 attempts_left (const struct job *j, enum send_state sent)
 {
-  /* What a deadline or an old claim stopped before sending is given up. */
+  /* No retry if the deadline or an expired claim prevented the send. */
   if (sent == SEND_NONE && j->stop_reason != NULL)
     return false;
   return j->attempts < j->service_cfg->attempts && j->nfailed < MAX_ATTEMPTS;
 }
 
-/* Judge an attempt; the retry budget is asked only if it matters. */
+/* Evaluates an attempt; charges the retry budget only if a retry follows. */
 static struct out_verdict
-judge_with_budget (struct job *j, enum send_state sent)
+evaluate_with_budget (struct job *j, enum send_state sent)
 {
-  struct out_verdict v = judge (j, sent, attempts_left (j, sent));
+  struct out_verdict v = evaluate (j, sent, attempts_left (j, sent));
 
   if (v.next != NEXT_FINISH && !jobsched_spend_retry (j))
-    v = judge (j, sent, false);
+    v = evaluate (j, sent, false);
   return v;
 }
 
-/* Tell routing what the end of an attempt says about its endpoint; a call that
-   we stopped ourselves says nothing. */
+/* Reports the result of an attempt to routing, except if this VM stopped the
+   call for a reason that is not the endpoint's fault. */
 static void
-tell_routing (struct job *j, enum send_state sent, int64_t now_us)
+report_to_routing (struct job *j, enum send_state sent, int64_t now_us)
 {
-  bool ours
+  bool stopped_here
       = j->stop_reason != NULL && strcmp (j->stop_reason, "stalled") != 0;
 
   if (sent == SEND_WHOLE)
     jobsched_report_result (j, ROUTE_REACHED, now_us);
-  else if (sent == SEND_NONE && !ours)
+  else if (sent == SEND_NONE && !stopped_here)
     jobsched_report_result (j, ROUTE_UNREACHED, now_us);
-  else if (sent != SEND_REFUSED && !ours)
+  else if (sent != SEND_REFUSED && !stopped_here)
     jobsched_report_result (j, ROUTE_BROKE, now_us);
 }
 
 static void
-finish_attempt (struct job *j, struct out_verdict v)
+finish_job (struct job *j, struct out_verdict v)
 {
   if (j->stop_reason != NULL && v.outcome != OUT_ANSWERED)
     v.reason = j->stop_reason;
@@ -314,7 +316,7 @@
 }
 
 static void
-retry (struct job *j, enum out_next next, const char *reason)
+attempt_retry (struct job *j, enum out_next next, const char *reason)
 {
   struct server *s = j->worker->server;
   struct service *sv = j->service;
@@ -330,14 +332,14 @@
   jobsched_dispatch (s, sv, now);
 }
 
-/* Decide what follows an attempt whose call is over. */
+/* Decides what follows an attempt whose call has ended. */
 static void
-conclude (struct job *j, enum send_state sent, const char *error)
+attempt_ended (struct job *j, enum send_state sent, const char *error)
 {
   int64_t now = loop_now_us ();
   struct out_verdict v;
 
-  v = judge_with_budget (j, sent);
+  v = evaluate_with_budget (j, sent);
   if (sent != SEND_NONE && sent != SEND_REFUSED)
     j->may_have_run = true;
   job_log (j, "attempt_end",
@@ -346,26 +348,26 @@
            j->attempts, out_send_name (sent), j->status,
            out_next_name (v.next), j->stop_reason ? j->stop_reason : v.reason,
            (gint64)(now - j->attempt_started_us), error);
-  tell_routing (j, sent, now);
+  report_to_routing (j, sent, now);
   kept_import_end (j, j->cached_tokens);
   if (j->is_model && sent == SEND_WHOLE && j->status == 200)
     kept_answered (j);
   jobsched_release_slot (j, now);
   if (v.next == NEXT_FINISH)
-    finish_attempt (j, v);
+    finish_job (j, v);
   else
-    retry (j, v.next, j->stop_reason ? j->stop_reason : v.reason);
+    attempt_retry (j, v.next, j->stop_reason ? j->stop_reason : v.reason);
 }
 
 static void
 on_end (void *arg, const struct xfer_end *end)
 {
   struct job *j = arg;
-  enum send_state sent = send_state_of (j, end);
+  enum send_state sent = attempt_send_state (j, end);
 
   j->call = NULL;
   j->status = end->status;
-  conclude (j, sent, end->error);
+  attempt_ended (j, sent, end->error);
 }
 
 /* --- start and stop -------------------------------------------------- */
@@ -398,10 +400,10 @@
   g_string_truncate (j->answer, 0);
   if (j->is_model)
     strm_attempt (&j->strm, j->attempts);
-  build (j);
+  build_request (j);
   j->attempt_started_us = loop_now_us ();
   j->progress_us = j->attempt_started_us;
-  o.path = path_of (j);
+  o.path = request_path (j);
   o.headers = (const char *const *)j->send_headers;
   o.body = j->is_model ? j->send_body : j->body->str;
   o.body_len = j->is_model ? strlen (j->send_body) : j->body->len;
@@ -415,7 +417,8 @@
       = j->worker->endpoints.call (j->worker->endpoints.ctx, &o, &events, j);
 }
 
-/* Cancel the attempt under way, if any; the endpoint sees a close. */
+/* Cancels the running attempt, if any; the endpoint sees the connection
+   close. */
 void
 attempt_stop (struct job *j)
 {
@@ -425,7 +428,8 @@
   j->call = NULL;
 }
 
-/* An attempt took too long: cancel it and judge it as broken. */
+/* Cancels an attempt that took too long and treats it as a broken connection.
+ */
 void
 attempt_abort (struct job *j, const char *reason)
 {
@@ -437,10 +441,10 @@
     sent = SEND_REPLIED;
   attempt_stop (j);
   j->stop_reason = reason;
-  conclude (j, sent, "");
+  attempt_ended (j, sent, "");
 }
 
-/* --- slow readers ---------------------------------------------------- */
+/* --- slow callers ---------------------------------------------------- */
 
 static void
 on_unpause (void *arg)
@@ -457,13 +461,15 @@
   job_free_if_done (j);
 }
 
-/* The reader took bytes: let the engine go on once half is free.  Posted,
-   because libcurl and the daemon must not call into each other. */
+/* The caller read bytes: resumes the transfer once half of the buffer is free.
+   Posted as a message, because libcurl and the HTTP daemon must not call into
+   each other. */
 void
 job_drained (struct job *j)
 {
   if (!j->paused || j->unpause_posted
-      || j->caller->stream_pending (j->caller_arg) > buffer_bytes (j) / 2)
+      || j->caller->stream_pending (j->caller_arg)
+             > stream_buffer_bytes (j) / 2)
     return;
   j->unpause_posted = true;
   j->unpause.run = on_unpause;
--- a/job.c
+++ b/job.c
@@ -1,9 +1,10 @@
 /*
- * Jobs: the life of one request to a service, from its admission to its end.
+ * Jobs: one request to a service, from its admission to its reply.
  *
- * jobsched.c finds it a place, attempt.c sends it, jobclaim.c keeps it from
- * running twice, jobreply.c answers the caller.  What follows what they did is
- * said here, by callbacks: none of them knows this file.
+ * jobsched.c assigns a slot to a job, attempt.c sends it, jobclaim.c keeps it
+ * from running twice, and jobreply.c answers the caller.  They report through
+ * job_callbacks, and this file decides what follows, so that none of them
+ * depends on it.
  */
 #include "libserver.h"
 
@@ -11,12 +12,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SWEEP_US (20 * CQ_US_PER_MS)
-#define PEEK_EVERY 12 /* sweeps between looks for callers that went away */
-/* A parsed prompt is held as JSON, as text and as the body sent. */
-#define PROMPT_COPIES 3
+#define SWEEP_INTERVAL_US (20 * CQ_US_PER_MS)
+#define CHECK_SWEEPS 12 /* sweeps between checks of the connection */
+/* A parsed prompt is in memory as JSON, as text and as the body to send. */
+#define PROMPT_BODY_COPIES 3
 
-static const struct job_callbacks steps;
+static const struct job_callbacks callbacks;
 
 /* --- start ----------------------------------------------------------- */
 
@@ -30,7 +31,7 @@
   j->worker = w;
   j->caller = d->caller;
   j->caller_arg = d->arg;
-  j->callbacks = &steps;
+  j->callbacks = &callbacks;
   g_strlcpy (j->id, d->id, sizeof j->id);
   j->workspace = &s->workspaces[d->workspace];
   j->service = &s->services[service];
@@ -47,13 +48,13 @@
 }
 
 static bool
-may_use (const struct cfg_workspace *ws, const char *service)
+is_service_allowed (const struct cfg_workspace *ws, const char *service)
 {
   return g_strv_contains ((const char *const *)ws->services, service);
 }
 
-/* Index of the service if the caller may use it, or -1.  A service of others
-   answers as one that does not exist. */
+/* Returns the index of the service if the caller may use it, or -1.  A service
+   that the caller may not use looks like one that does not exist. */
 static int
 find_service (const struct job_desc *d, const char *name,
               enum cfg_service_kind kind)
@@ -64,12 +65,13 @@
   if (i < 0 || cfg_service (cfg, i)->removed
       || cfg_service (cfg, i)->kind != (int)kind)
     return -1;
-  return may_use (cfg_workspace (cfg, d->workspace), name) ? i : -1;
+  return is_service_allowed (cfg_workspace (cfg, d->workspace), name) ? i : -1;
 }
 
-/* What the caller wishes for priority and deadline; NULL or a refusal. */
+/* Checks the idempotency key and applies the priority and deadline that the
+   caller requested.  Returns NULL or the code of a refusal. */
 static const char *
-read_wishes (struct job *j, const char *priority, const char *deadline)
+read_options (struct job *j, const char *priority, const char *deadline)
 {
   guint64 ms;
 
@@ -108,7 +110,7 @@
 }
 
 static void
-enlist (struct job *j)
+job_register (struct job *j)
 {
   struct worker *w = j->worker;
 
@@ -117,18 +119,18 @@
   __atomic_fetch_add (&w->server->live_jobs, 1, __ATOMIC_RELAXED);
   met_add (MET_REQUESTS, 1);
   if (!w->sweep_timer.armed)
-    loop_arm (w->loop, &w->sweep_timer, loop_now_us () + SWEEP_US);
+    loop_arm (w->loop, &w->sweep_timer, loop_now_us () + SWEEP_INTERVAL_US);
 }
 
 static void
-submit (struct job *j, const struct job_desc *d)
+job_submit (struct job *j, const struct job_desc *d)
 {
   int64_t now = loop_now_us ();
   int64_t retry_after = 0;
   const char *code = phase_refusal (j->worker->server);
 
   j->caller->started (j->caller_arg, j);
-  enlist (j);
+  job_register (j);
   job_log (j, "accept", "kind=%s urgent=%d keyed=%d cost=%" G_GINT64_FORMAT,
            j->is_model ? "model" : "plain", j->urgent,
            j->idempotency_key != NULL, (gint64)j->cost);
@@ -138,7 +140,7 @@
       && conf_stale (j->worker->server->conf, now))
     code = "settings_stale";
   if (code == NULL)
-    code = read_wishes (j, d->priority, d->deadline_ms);
+    code = read_options (j, d->priority, d->deadline_ms);
   else
     retry_after = CQ_US_PER_S;
   if (code == NULL)
@@ -192,11 +194,11 @@
   j->prompt = p;
   j->max_tokens = p.max_tokens ? p.max_tokens : j->service_cfg->max_tokens;
   j->cost = p.prompt_tokens + j->max_tokens;
-  job_charge_memory (j, (int64_t)d->body_len * PROMPT_COPIES);
+  job_charge_memory (j, (int64_t)d->body_len * PROMPT_BODY_COPIES);
   strm_init (&j->strm, j->service_cfg->version,
              (size_t)vm->resume_text_kb * 1024);
   digest_prompt (j);
-  submit (j, d);
+  job_submit (j, d);
   return NULL;
 }
 
@@ -217,14 +219,14 @@
   j->call_path = g_strdup (slash ? slash : "/");
   j->content_type = g_strdup (d->content_type ? d->content_type
                                               : "application/octet-stream");
-  submit (j, d);
+  job_submit (j, d);
   return NULL;
 }
 
 /* --- end ------------------------------------------------------------- */
 
 static void
-delist (struct job *j)
+job_unregister (struct job *j)
 {
   struct worker *w = j->worker;
 
@@ -277,11 +279,11 @@
   j->caller = NULL;
   jobclaim_detach (j);
   j->state = JOB_DONE;
-  delist (j);
+  job_unregister (j);
   job_free_if_done (j);
 }
 
-/* Give up a job before its next attempt; not-run if no attempt ran. */
+/* Ends a job before its next attempt; not-run if no attempt ran. */
 static void
 refuse (struct job *j, const char *code, int64_t retry_after_us)
 {
@@ -294,14 +296,14 @@
 }
 
 static void
-finish_at_once (struct job *j, enum outcome outcome, const char *reason)
+finish_no_retry (struct job *j, enum outcome outcome, const char *reason)
 {
   finish (j, outcome, reason, 0);
 }
 
-/* A place was found: a call that may not repeat is claimed before. */
+/* The job got a slot.  A non-idempotent call is claimed before it is sent. */
 static void
-placed (struct job *j)
+on_slot_taken (struct job *j)
 {
   if (jobclaim_is_needed (j))
     jobclaim_start (j);
@@ -309,17 +311,17 @@
     attempt_start (j);
 }
 
-static const struct job_callbacks steps = {
-  .on_slot_taken = placed,
+static const struct job_callbacks callbacks = {
+  .on_slot_taken = on_slot_taken,
   .on_outcome = jobclaim_record,
   .refuse = refuse,
-  .finish = finish_at_once,
+  .finish = finish_no_retry,
 };
 
 /*
- * The caller hung up.  A repeatable request is cancelled.  A call that may
- * not repeat goes on once it was sent: stopping it would leave it half done,
- * and its recorded answer is what the caller's retry will ask for.
+ * The caller disconnected.  An idempotent request is cancelled.  A
+ * non-idempotent call continues once it was sent: stopping it would leave it
+ * half done, and the caller's retry will ask for the recorded answer.
  */
 void
 job_caller_disconnected (struct job *j)
@@ -342,7 +344,7 @@
     case JOB_CLAIMING:
     case JOB_RECORDING:
     case JOB_DONE:
-      /* What is under way sees that the caller is gone when it returns. */
+      /* The pending operation checks for the caller when it completes. */
       return;
     }
 }
@@ -386,29 +388,30 @@
 }
 
 static void
-look_for_gone (struct job *j)
+check_connection (struct job *j)
 {
   if (j->caller != NULL)
     j->caller->look (j->caller_arg);
 }
 
-/* Deadlines, stalls and callers that went away, for all jobs of a worker. */
+/* Checks deadlines, stalls and disconnected callers for all jobs of a worker.
+ */
 void
 job_sweep (struct worker *w, int64_t now_us)
 {
-  static __thread unsigned turn;
-  bool peek = ++turn % PEEK_EVERY == 0;
+  static __thread unsigned sweeps;
+  bool check = ++sweeps % CHECK_SWEEPS == 0;
   struct job *j, *next;
 
   for (j = APR_RING_FIRST (&w->jobs);
        j != APR_RING_SENTINEL (&w->jobs, job, link); j = next)
     {
       next = APR_RING_NEXT (j, link);
-      if (peek)
-        look_for_gone (j);
+      if (check)
+        check_connection (j);
       sweep_job (j, now_us);
     }
   jobsched_dispatch_all (w->server, now_us);
   if (w->njobs > 0)
-    loop_arm (w->loop, &w->sweep_timer, now_us + SWEEP_US);
+    loop_arm (w->loop, &w->sweep_timer, now_us + SWEEP_INTERVAL_US);
 }
--- a/jobclaim.c
+++ b/jobclaim.c
@@ -1,6 +1,6 @@
 /*
- * Claims of jobs: a call that may not repeat and carries an idempotency key
- * is claimed in the platform's table before its first byte leaves, and its
+ * Claims of jobs: a non-idempotent call that carries an idempotency key is
+ * claimed in the platform's table before its first byte is sent, and its
  * answer is recorded there before the caller gets it.
  */
 #include "libserver.h"
@@ -8,16 +8,16 @@
 #include <sodium.h>
 #include <string.h>
 
-#define READ_PAUSE_US (50 * CQ_US_PER_MS)   /* before the first read */
-#define READ_PAUSE_MAX_US (1 * CQ_US_PER_S) /* between later ones */
-#define GIVE_UP_SLACK_MS 5000               /* clocks of VMs differ */
+#define READ_PAUSE_MIN_US (50 * CQ_US_PER_MS) /* before the first read */
+#define READ_PAUSE_MAX_US (1 * CQ_US_PER_S)   /* backoff limit */
+#define CLOCK_SKEW_MAX_MS 5000 /* between the clocks of two VMs */
 
-static void judge_row (struct job *j, const json_t *row, int64_t version);
+static void evaluate_row (struct job *j, const json_t *row, int64_t version);
 
 /* --- names ----------------------------------------------------------- */
 
 static void
-hex_digest (const char *const *parts, const size_t *lens, int n, char *hex)
+digest_hex (const char *const *parts, const size_t *lens, int n, char *hex)
 {
   crypto_generichash_state h;
   uint8_t sum[16];
@@ -34,10 +34,11 @@
   sodium_bin2hex (hex, DIGEST_SIZE, sum, sizeof sum);
 }
 
-/* The row of a key is scoped by workspace and service: nobody can meet
-   another workspace's call by guessing its key. */
+/* Sets the row key of the claim, the request digest and the attempt id.  The
+   row key contains workspace and service, so that a caller cannot reach a call
+   of another workspace by guessing its idempotency key. */
 static void
-name_claim (struct job *j)
+set_claim_ids (struct job *j)
 {
   const char *const key[] = { j->idempotency_key };
   const size_t key_len[] = { strlen (j->idempotency_key) };
@@ -45,10 +46,10 @@
   const size_t request_len[] = { strlen (j->call_path), j->body->len };
   char hex[DIGEST_SIZE];
 
-  hex_digest (key, key_len, 1, hex);
+  digest_hex (key, key_len, 1, hex);
   j->claim_key = g_strdup_printf ("claim/%s/%s/%s", j->workspace_cfg->id,
                                   j->service_cfg->id, hex);
-  hex_digest (request, request_len, 2, j->request_digest);
+  digest_hex (request, request_len, 2, j->request_digest);
   g_snprintf (j->attempt_id, sizeof j->attempt_id, "%s/%s",
               cfg_vm (server_cfg (j->worker->server))->name, j->id);
 }
@@ -66,7 +67,7 @@
 /* --- operations ------------------------------------------------------ */
 
 static int64_t
-wall_ms (void)
+unix_time_ms (void)
 {
   return g_get_real_time () / 1000;
 }
@@ -83,9 +84,10 @@
   claims_submit (j->worker->server->claims, op);
 }
 
-/* The result of an operation arrived; NULL if its job has ended meanwhile. */
+/* Returns the job whose operation has completed, or NULL if the job has ended
+   meanwhile. */
 static struct job *
-op_arrived (void *arg)
+op_job (void *arg)
 {
   struct job *j = arg;
 
@@ -96,7 +98,7 @@
   return j;
 }
 
-/* A job ends: the result of its operation is of no interest any more. */
+/* The job ends: detaches it from its operation, whose result is ignored. */
 void
 jobclaim_detach (struct job *j)
 {
@@ -110,11 +112,11 @@
 /* --- claiming -------------------------------------------------------- */
 
 static json_t *
-held_row (struct job *j)
+new_held_row (struct job *j)
 {
   const struct cfg_service *c = j->service_cfg;
-  int64_t give_up = wall_ms () + c->send_within_ms + c->run_max_s * 1000
-                    + GIVE_UP_SLACK_MS;
+  int64_t give_up = unix_time_ms () + c->send_within_ms + c->run_max_s * 1000
+                    + CLOCK_SKEW_MAX_MS;
 
   return json_pack ("{s:s,s:s,s:s,s:I}", "phase", "held", "attempt",
                     j->attempt_id, "digest", j->request_digest, "give_up_ms",
@@ -130,7 +132,7 @@
 }
 
 static void
-own_claim (struct job *j, int64_t version)
+claim_owned (struct job *j, int64_t version)
 {
   j->claimed = true;
   j->claim_version = version;
@@ -143,7 +145,7 @@
 }
 
 static void
-after_read_to_release (struct claim_op *op, void *arg)
+on_read_to_release (struct claim_op *op, void *arg)
 {
   g_autofree char *attempt = arg;
   const char *owner = json_string_value (json_object_get (op->row, "attempt"));
@@ -160,25 +162,25 @@
 }
 
 /*
- * The insert got no reply, and the call is refused as not-run.  If the row is
- * there all the same, it would answer "unknown" to every retry; it is looked
- * for once the table has had time to come back, and taken away.
+ * The insert got no reply, and the call is refused as not-run.  If the row was
+ * written nevertheless, every retry would get "unknown".  So the row is read
+ * once the table replies again, and deleted if it belongs to this attempt.
  */
 static void
-release_uncertain (struct job *j)
+release_if_written (struct job *j)
 {
   struct claim_op *op = claims_op_new (j->claim_key);
 
   op->is_read = true;
   op->retry_until_reply = true;
   op->home_loop = j->worker->loop;
-  op->done = after_read_to_release;
+  op->done = on_read_to_release;
   op->arg = g_strdup (j->attempt_id);
   claims_submit (j->worker->server->claims, op);
 }
 
 static void
-without_table (struct job *j)
+claim_no_reply (struct job *j)
 {
   bool run = j->service_cfg->claim_outage == CFG_SERVICE_CLAIM_OUTAGE_RUN;
 
@@ -188,27 +190,27 @@
       attempt_start (j);
       return;
     }
-  release_uncertain (j);
+  release_if_written (j);
   j->callbacks->refuse (j, "table_down", CQ_US_PER_S);
 }
 
 static void
 on_claimed (struct claim_op *op, void *arg)
 {
-  struct job *j = op_arrived (arg);
+  struct job *j = op_job (arg);
 
   if (j == NULL)
     return;
   switch (op->code)
     {
     case CLAIM_OP_DONE:
-      own_claim (j, op->row_version);
+      claim_owned (j, op->row_version);
       break;
     case CLAIM_OP_CONFLICT:
-      judge_row (j, op->row, op->row_version);
+      evaluate_row (j, op->row, op->row_version);
       break;
     case CLAIM_OP_NO_REPLY:
-      without_table (j);
+      claim_no_reply (j);
       break;
     }
 }
@@ -220,14 +222,15 @@
 
   j->state = JOB_CLAIMING;
   if (j->claim_key == NULL)
-    name_claim (j);
+    set_claim_ids (j);
   j->claim_requested_us = loop_now_us ();
   op = claims_op_new (j->claim_key);
-  op->put = held_row (j);
+  op->put = new_held_row (j);
   run_op (j, op, on_claimed);
 }
 
-/* The claimed call was not run: let a later request with this key run it. */
+/* The claimed call did not run: deletes the claim, so that a later request
+   with the same key can run. */
 void
 jobclaim_release (struct job *j)
 {
@@ -245,7 +248,7 @@
 /* --- another attempt's claim ----------------------------------------- */
 
 static const char *
-text_of (const json_t *row, const char *field)
+text_field (const json_t *row, const char *field)
 {
   const char *s = json_string_value (json_object_get (row, field));
 
@@ -253,14 +256,14 @@
 }
 
 static void
-replay (struct job *j)
+finish_replay (struct job *j)
 {
   met_add (MET_CLAIM_REPLAYS, 1);
   j->callbacks->finish (j, j->outcome, j->reason);
 }
 
 static void
-on_object (void *arg, bool found, const char *data, size_t len)
+on_answer_read (void *arg, bool found, const char *data, size_t len)
 {
   struct job *j = arg;
 
@@ -276,13 +279,13 @@
       return;
     }
   g_string_append_len (j->answer, data, (gssize)len);
-  replay (j);
+  finish_replay (j);
 }
 
 static enum outcome
-outcome_of (const json_t *row)
+outcome_field (const json_t *row)
 {
-  const char *name = text_of (row, "outcome");
+  const char *name = text_field (row, "outcome");
 
   if (strcmp (name, out_name (OUT_ANSWERED)) == 0)
     return OUT_ANSWERED;
@@ -291,32 +294,33 @@
   return OUT_UNKNOWN;
 }
 
-/* Answer with the recorded answer. */
+/* Replies with the recorded answer. */
 static void
 replay_row (struct job *j, const json_t *row)
 {
-  const char *object = text_of (row, "object");
+  const char *object = text_field (row, "object");
   g_autofree guchar *body = NULL;
   gsize len;
 
-  j->outcome = outcome_of (row);
-  j->reason = refusal_find (text_of (row, "reason"))->code;
+  j->outcome = outcome_field (row);
+  j->reason = refusal_find (text_field (row, "reason"))->code;
   if (j->outcome == OUT_ANSWERED)
     j->reason = "replayed";
   j->status = (int)json_integer_value (json_object_get (row, "status"));
-  g_strlcpy (j->answer_type, text_of (row, "type"), sizeof j->answer_type);
+  g_strlcpy (j->answer_type, text_field (row, "type"), sizeof j->answer_type);
   if (j->answer == NULL)
     j->answer = g_string_new (NULL);
   if (object[0] != '\0' && j->worker->objects.ctx != NULL)
     {
       j->state = JOB_CLAIMING;
       j->pending_ops++;
-      j->worker->objects.get (j->worker->objects.ctx, object, on_object, j);
+      j->worker->objects.get (j->worker->objects.ctx, object, on_answer_read,
+                              j);
       return;
     }
-  body = g_base64_decode (text_of (row, "body"), &len);
+  body = g_base64_decode (text_field (row, "body"), &len);
   g_string_append_len (j->answer, (const char *)body, (gssize)len);
-  replay (j);
+  finish_replay (j);
 }
 
 static void
@@ -327,8 +331,9 @@
   if (j->state != JOB_WAITING_FOR_OWNER)
     {
       j->state = JOB_WAITING_FOR_OWNER;
-      j->read_pause_us = READ_PAUSE_US;
-      /* The run belongs to another; its place must not be held twice. */
+      j->read_pause_us = READ_PAUSE_MIN_US;
+      /* The owner of the claim runs the call; this job must not hold a
+         second slot for it. */
       jobsched_release_slot (j, now);
     }
   if (j->caller == NULL)
@@ -343,22 +348,22 @@
 }
 
 static void
-judge_row (struct job *j, const json_t *row, int64_t version)
+evaluate_row (struct job *j, const json_t *row, int64_t version)
 {
-  struct claim_row r = { .attempt = text_of (row, "attempt"),
-                         .digest = text_of (row, "digest") };
+  struct claim_row r = { .attempt = text_field (row, "attempt"),
+                         .digest = text_field (row, "digest") };
   enum claim_code code;
 
-  r.phase
-      = strcmp (text_of (row, "phase"), "done") == 0 ? CLAIM_DONE : CLAIM_HELD;
+  r.phase = strcmp (text_field (row, "phase"), "done") == 0 ? CLAIM_DONE
+                                                            : CLAIM_HELD;
   r.give_up_ms = json_integer_value (json_object_get (row, "give_up_ms"));
-  code = claim_judge (&r, j->attempt_id, j->request_digest, wall_ms ());
+  code = claim_judge (&r, j->attempt_id, j->request_digest, unix_time_ms ());
   if (code != CLAIM_OWN)
     log_claim (j, claim_name (code));
   switch (code)
     {
     case CLAIM_OWN:
-      own_claim (j, version);
+      claim_owned (j, version);
       break;
     case CLAIM_REPLAY:
       replay_row (j, row);
@@ -376,22 +381,23 @@
 }
 
 static void
-on_row (struct claim_op *op, void *arg)
+on_claim_read (struct claim_op *op, void *arg)
 {
-  struct job *j = op_arrived (arg);
+  struct job *j = op_job (arg);
 
   if (j == NULL)
     return;
   if (op->code != CLAIM_OP_DONE)
     wait_for_owner (j);
   else if (op->row != NULL)
-    judge_row (j, op->row, op->row_version);
+    evaluate_row (j, op->row, op->row_version);
   else
-    /* The owner gave its claim back: it was not run. */
+    /* The owner released its claim: the call did not run. */
     jobsched_requeue (j, loop_now_us ());
 }
 
-/* From the sweep, while another attempt owns the run. */
+/* Reads the claim's row again when due; called by the sweep while another
+   attempt owns the claim. */
 void
 jobclaim_poll (struct job *j, int64_t now_us)
 {
@@ -406,7 +412,7 @@
     return;
   op = claims_op_new (j->claim_key);
   op->is_read = true;
-  run_op (j, op, on_row);
+  run_op (j, op, on_claim_read);
 }
 
 /* --- recording ------------------------------------------------------- */
@@ -414,7 +420,7 @@
 static void
 on_recorded (struct claim_op *op, void *arg)
 {
-  struct job *j = op_arrived (arg);
+  struct job *j = op_job (arg);
 
   if (j == NULL)
     return;
@@ -423,7 +429,7 @@
 }
 
 static json_t *
-done_row (struct job *j, const char *object)
+new_done_row (struct job *j, const char *object)
 {
   g_autofree char *body = NULL;
   json_t *row
@@ -443,13 +449,14 @@
 }
 
 static void
-write_record (struct job *j, const char *object)
+record_answer (struct job *j, const char *object)
 {
   struct claim_op *op = claims_op_new (j->claim_key);
 
   op->version = j->claim_version;
-  op->put = done_row (j, object);
-  /* The caller waits a bounded time; the record is tried for longer. */
+  op->put = new_done_row (j, object);
+  /* The caller waits at most record_wait_ms; the write is retried beyond
+     that. */
   op->retry_until_reply = true;
   if (j->state == JOB_DONE)
     claims_submit (j->worker->server->claims, op);
@@ -458,7 +465,7 @@
 }
 
 static void
-on_stored (void *arg, bool found, const char *data, size_t len)
+on_answer_stored (void *arg, bool found, const char *data, size_t len)
 {
   struct job *j = arg;
   g_autofree char *name = NULL;
@@ -467,12 +474,12 @@
   (void)len;
   j->pending_ops--;
   name = g_strdup_printf ("answer-%s", j->id);
-  /* Without the object store the table takes the answer itself. */
-  write_record (j, found ? name : NULL);
+  /* If the object store failed, the answer is stored in the row itself. */
+  record_answer (j, found ? name : NULL);
   job_free_if_done (j);
 }
 
-/* Record the end of a claimed call, then answer its caller. */
+/* Records the result of a claimed call, then answers its caller. */
 void
 jobclaim_record (struct job *j)
 {
@@ -485,10 +492,10 @@
   if (j->answer->len <= (size_t)p->record_inline_kb * 1024
       || objects->ctx == NULL)
     {
-      write_record (j, NULL);
+      record_answer (j, NULL);
       return;
     }
   j->pending_ops++;
-  objects->put (objects->ctx, name, j->answer->str, j->answer->len, on_stored,
-                j);
+  objects->put (objects->ctx, name, j->answer->str, j->answer->len,
+                on_answer_stored, j);
 }
--- a/jobsched.c
+++ b/jobsched.c
@@ -1,26 +1,26 @@
 /*
- * Places and queue: who starts next, and where.
+ * Scheduling of jobs: which queued job starts next, and at which endpoint.
  *
- * This is where the deciding library meets the locks: lim_lock guards limits
- * and queues, route_lock the endpoints, always taken in that order.
+ * Calls the decision library under the locks that it needs: lim_lock guards
+ * limits and queues, route_lock the endpoints; always taken in that order.
  */
 #include "libserver.h"
 
 #include <string.h>
 
-#define MAX_SOURCES 8 /* stores that are compared */
-#define MAX_HITS 32   /* endpoints with a cached prefix that are compared */
+#define SOURCES_MAX 8 /* candidate stores of an import */
+#define HITS_MAX 32   /* candidate endpoints with a cached prefix */
 
-static void on_placed (void *arg);
+static void on_scheduled (void *arg);
 
 static struct job *
-job_of (struct fq_entry *e)
+entry_job (struct fq_entry *e)
 {
   return (struct job *)((char *)e - offsetof (struct job, entry));
 }
 
 static void
-post (struct job *j, void (*run) (void *))
+post_to_job (struct job *j, void (*run) (void *))
 {
   j->msg.run = run;
   j->msg.arg = j;
@@ -30,7 +30,7 @@
 /* --- queue ----------------------------------------------------------- */
 
 static struct fq_flow *
-flow_of (struct job *j)
+job_flow (struct job *j)
 {
   struct workspace *w = j->workspace;
   enum fq_class class = j->urgent ? FQ_URGENT : FQ_NORMAL;
@@ -48,14 +48,14 @@
 }
 
 static const char *
-fq_refusal (enum fq_code code)
+queue_refusal (enum fq_code code)
 {
   return code == FQ_FULL ? "queue_full" : "too_late";
 }
 
-/* The queue gave this job's place to another workspace. */
+/* The queue evicted this job in favour of another workspace. */
 static void
-on_pushed_out (void *arg)
+on_evicted (void *arg)
 {
   struct job *j = arg;
 
@@ -65,7 +65,7 @@
 }
 
 static int
-places_of (struct job *j, int64_t now_us)
+slot_count (struct job *j, int64_t now_us)
 {
   struct server *s = j->worker->server;
   int n;
@@ -76,37 +76,37 @@
   return n;
 }
 
-/* Queue J under lim_lock; NULL or a refusal. */
+/* Queues J under lim_lock; returns NULL or the code of a refusal. */
 static const char *
 enqueue (struct job *j, int64_t now_us, int64_t *retry_after_us)
 {
-  int places = places_of (j, now_us);
+  int slots = slot_count (j, now_us);
   struct fq_verdict v;
 
-  if (places == 0)
+  if (slots == 0)
     {
       *retry_after_us = CQ_US_PER_S;
       return "all_down";
     }
   j->entry.cost = j->cost;
-  /* Work that has started once is not late for its first start any more. */
+  /* The deadline applies only until an attempt may have run. */
   j->entry.deadline_us = j->may_have_run ? G_MAXINT64 : j->deadline_us;
-  v = fq_push (&j->service->queue, flow_of (j), &j->entry, places, now_us);
+  v = fq_push (&j->service->queue, job_flow (j), &j->entry, slots, now_us);
   *retry_after_us = v.wait_us + CQ_US_PER_S;
   if (v.code != FQ_QUEUED)
-    return fq_refusal (v.code);
+    return queue_refusal (v.code);
   j->state = JOB_QUEUED;
   met_add (MET_QUEUED, 1);
   if (v.victim != NULL)
     {
       met_add (MET_QUEUED, -1);
-      job_of (v.victim)->pending_ops++;
-      post (job_of (v.victim), on_pushed_out);
+      entry_job (v.victim)->pending_ops++;
+      post_to_job (entry_job (v.victim), on_evicted);
     }
   return NULL;
 }
 
-/* Admit and queue a job; NULL or the reason of the refusal. */
+/* Admits and queues a job; returns NULL or the code of a refusal. */
 const char *
 jobsched_submit (struct job *j, int64_t now_us, int64_t *retry_after_us)
 {
@@ -132,14 +132,15 @@
   return code;
 }
 
-/* The first cause says more than "no other endpoint is left". */
+/* After a failed attempt its reason tells the caller more than the reason why
+   no other endpoint was found. */
 static const char *
-why_not (const struct job *j, const char *code)
+refusal_reason (const struct job *j, const char *code)
 {
   return j->nfailed > 0 ? j->reason : code;
 }
 
-/* Queue a job again for another attempt, or because its place was gone. */
+/* Queues a job again, for another attempt or because it got no slot. */
 void
 jobsched_requeue (struct job *j, int64_t now_us)
 {
@@ -151,10 +152,10 @@
   code = enqueue (j, now_us, &retry_after);
   g_mutex_unlock (&s->lim_lock);
   if (code != NULL)
-    j->callbacks->refuse (j, why_not (j, code), retry_after);
+    j->callbacks->refuse (j, refusal_reason (j, code), retry_after);
 }
 
-/* Take a job out of the queue; false if it was placed meanwhile. */
+/* Removes a job from the queue; returns false if it was scheduled already. */
 bool
 jobsched_cancel (struct job *j)
 {
@@ -183,26 +184,27 @@
   g_mutex_unlock (&s->lim_lock);
 }
 
-/* Whether the service's retry budget pays for one more attempt. */
+/* Takes one retry from the service's retry budget; returns false if the budget
+   is exhausted. */
 bool
 jobsched_spend_retry (struct job *j)
 {
   struct server *s = j->worker->server;
-  bool paid;
+  bool has_budget;
 
   g_mutex_lock (&s->lim_lock);
-  paid = budget_spend (&j->service->budget);
+  has_budget = budget_spend (&j->service->budget);
   g_mutex_unlock (&s->lim_lock);
-  return paid;
+  return has_budget;
 }
 
-/* --- places ---------------------------------------------------------- */
+/* --- slots ----------------------------------------------------------- */
 
 static struct route_choice
 pick (struct server *s, struct job *j, int64_t now_us)
 {
-  struct pfx_hit hits[MAX_HITS];
-  struct plan_source sources[MAX_SOURCES];
+  struct pfx_hit hits[HITS_MAX];
+  struct plan_source sources[SOURCES_MAX];
   struct route_query q = { .service = j->service->index };
   struct route_choice c;
 
@@ -219,9 +221,9 @@
       q.weights.link = (int)j->service_cfg->weight_link;
       q.hits = hits;
       q.nhits = pfx_lookup (s->prefixes, j->prefix_digests, j->nprefix_digests,
-                            hits, MAX_HITS);
+                            hits, HITS_MAX);
       q.sources = sources;
-      q.nsources = kept_sources (s->kept, j, now_us, sources, MAX_SOURCES);
+      q.nsources = kept_sources (s->kept, j, now_us, sources, SOURCES_MAX);
     }
   c = route_pick (s->routes, &q, now_us);
   if (c.code == ROUTE_CHOSEN)
@@ -235,17 +237,18 @@
   return c;
 }
 
-/* Places that one workspace may hold with normal work. */
+/* Returns the number of slots that one workspace may hold with normal
+   requests. */
 static int
-share_of (struct server *s, const struct service *sv, int64_t now_us)
+normal_slots_max (struct server *s, const struct service *sv, int64_t now_us)
 {
-  int places = route_places (s->routes, sv->index, now_us);
-  int share = (int)(places * sv->cfg->share_percent / 100);
+  int slots = route_places (s->routes, sv->index, now_us);
+  int share = (int)(slots * sv->cfg->share_percent / 100);
 
   return share > 0 ? share : 1;
 }
 
-/* Start waiting requests of a service as long as places are free. */
+/* Starts queued requests of a service as long as slots are free. */
 void
 jobsched_dispatch (struct server *s, struct service *sv, int64_t now_us)
 {
@@ -258,8 +261,8 @@
       g_mutex_lock (&s->lim_lock);
       g_mutex_lock (&s->route_lock);
       e = fq_pop (&sv->queue, route_free_places (s->routes, sv->index, now_us),
-                  share_of (s, sv, now_us));
-      j = e ? job_of (e) : NULL;
+                  normal_slots_max (s, sv, now_us));
+      j = e ? entry_job (e) : NULL;
       if (j != NULL)
         {
           j->choice = pick (s, j, now_us);
@@ -268,7 +271,7 @@
           if (j->has_slot)
             kept_import_begin (s->kept, j, now_us);
           else
-            fq_finished (flow_of (j));
+            fq_finished (job_flow (j));
         }
       g_mutex_unlock (&s->route_lock);
       g_mutex_unlock (&s->lim_lock);
@@ -276,7 +279,7 @@
       if (j != NULL)
         {
           met_add (MET_QUEUED, -1);
-          post (j, on_placed);
+          post_to_job (j, on_scheduled);
         }
     }
 }
@@ -299,7 +302,7 @@
     }
 }
 
-/* Give the place at the endpoint back. */
+/* Releases the job's slot at the endpoint. */
 void
 jobsched_release_slot (struct job *j, int64_t now_us)
 {
@@ -310,7 +313,7 @@
   j->has_slot = false;
   met_add (MET_RUNNING, -1);
   g_mutex_lock (&s->lim_lock);
-  fq_finished (flow_of (j));
+  fq_finished (job_flow (j));
   fq_held (&j->service->queue, now_us - j->slot_taken_us);
   g_mutex_lock (&s->route_lock);
   route_done (s->routes, j->choice.endpoint);
@@ -319,7 +322,7 @@
   jobsched_dispatch (s, j->service, now_us);
 }
 
-/* Tell routing how the call to the chosen endpoint went. */
+/* Reports the result of the call to the chosen endpoint to routing. */
 void
 jobsched_report_result (struct job *j, enum route_result result,
                         int64_t now_us)
@@ -332,7 +335,7 @@
 }
 
 static void
-log_choice (struct job *j)
+log_route (struct job *j)
 {
   const struct route_choice *c = &j->choice;
   const char *name = "none";
@@ -353,9 +356,9 @@
            (gint64)j->prompt.prompt_tokens, c->candidates, c->near);
 }
 
-/* On the job's own thread: a place was found, or none can be. */
+/* On the job's own thread: the job got a slot, or no endpoint can run it. */
 static void
-on_placed (void *arg)
+on_scheduled (void *arg)
 {
   struct job *j = arg;
   int64_t now = loop_now_us ();
@@ -366,7 +369,7 @@
       met_add (MET_RUNNING, 1);
       j->slot_taken_us = now;
     }
-  log_choice (j);
+  log_route (j);
   if (j->attempts == 0)
     met_observe (MET_QUEUE_TIME, now - j->arrived_us);
   if (j->caller == NULL)
@@ -374,8 +377,8 @@
   else if (j->choice.code == ROUTE_BUSY)
     jobsched_requeue (j, now);
   else if (j->choice.code != ROUTE_CHOSEN)
-    j->callbacks->refuse (j, why_not (j, route_code_name (j->choice.code)),
-                          CQ_US_PER_S);
+    j->callbacks->refuse (
+        j, refusal_reason (j, route_code_name (j->choice.code)), CQ_US_PER_S);
   else
     j->callbacks->on_slot_taken (j);
 }
