--- a/claims.c
+++ b/claims.c
@@ -1,39 +1,38 @@
 /*
- * Claims runner: operations on the platform's table, several to a
- * transaction.
+ * Claims runner: batches operations on the platform's table.
  *
- * The table takes several hundred writes a second in all, so writes that come
- * close together share one transaction (group commit).  A transaction whose
- * condition fails writes nothing: the operations in conflict get their rows,
- * the others go into the next transaction.
+ * The table accepts several hundred writes per second in total, so writes that
+ * arrive close together share one transaction (group commit).  A transaction
+ * with a failed condition writes nothing: the operations in conflict get the
+ * rows that they conflict with, the others go into the next transaction.
  */
 #include "libserver.h"
 
 #include <string.h>
 
-#define MAX_IN_FLIGHT 4                      /* transactions at once */
-#define RETRY_PAUSE_US (50 * CQ_US_PER_MS)   /* after a lost or refused one */
-#define RETRY_PAUSE_MAX_US (5 * CQ_US_PER_S) /* longest pause */
-#define BUSY_FACTOR 5 /* tries while the table is busy */
+#define TRANSACTIONS_MAX 4                      /* concurrent transactions */
+#define RETRY_PAUSE_STEP_US (50 * CQ_US_PER_MS) /* grows by this per try */
+#define RETRY_PAUSE_MAX_US (5 * CQ_US_PER_S)    /* between tries */
+#define BUSY_TRIES_FACTOR 5 /* more tries if rate limited */
 
-APR_RING_HEAD (op_ring, claim_op);
+APR_RING_HEAD (claim_op_queue, claim_op);
 
 struct claims
 {
-  struct claims_opts opts; /* how it was made */
-  struct op_ring waiting;  /* writes to be done, oldest first */
-  int nwaiting;            /* their number */
-  int in_flight;           /* transactions under way */
-  struct loop_timer timer; /* lingering and pauses */
+  struct claims_opts opts;     /* options passed to claims_new */
+  struct claim_op_queue queue; /* operations to run, oldest first */
+  int nqueued;                 /* entries in queue */
+  int ntransactions;           /* transactions in progress */
+  struct loop_timer timer;     /* fires when a queued operation is due */
 };
 
-/* A transaction under way. */
+/* A transaction in progress. */
 struct batch
 {
-  struct claims *claims;      /* its runner */
-  struct op_ring ops;         /* its operations, in order */
-  int n;                      /* their number */
-  struct table_write *writes; /* one for each */
+  struct claims *claims;      /* runner */
+  struct claim_op_queue ops;  /* its operations, in order */
+  int n;                      /* entries in ops and writes */
+  struct table_write *writes; /* one per operation */
 };
 
 static void flush (struct claims *c);
@@ -60,7 +59,7 @@
 /* --- results --------------------------------------------------------- */
 
 static void
-deliver (void *arg)
+run_done (void *arg)
 {
   struct claim_op *op = arg;
 
@@ -70,7 +69,7 @@
 }
 
 static void
-complete (struct claim_op *op, enum claim_op_code code)
+complete_op (struct claim_op *op, enum claim_op_code code)
 {
   op->code = code;
   if (op->home_loop == NULL)
@@ -78,46 +77,46 @@
       op_free (op);
       return;
     }
-  op->msg.run = deliver;
+  op->msg.run = run_done;
   op->msg.arg = op;
   loop_post (op->home_loop, &op->msg);
 }
 
 static void
-push_front (struct claims *c, struct claim_op *op)
+requeue_op (struct claims *c, struct claim_op *op)
 {
-  APR_RING_INSERT_HEAD (&c->waiting, op, claim_op, link);
-  c->nwaiting++;
+  APR_RING_INSERT_HEAD (&c->queue, op, claim_op, link);
+  c->nqueued++;
 }
 
 static int64_t
-pause_after (const struct claim_op *op)
+retry_pause_us (const struct claim_op *op)
 {
-  int64_t pause = RETRY_PAUSE_US * op->tries;
+  int64_t pause = RETRY_PAUSE_STEP_US * op->tries;
 
   return pause < RETRY_PAUSE_MAX_US ? pause : RETRY_PAUSE_MAX_US;
 }
 
 /*
- * No reply: the write may have taken effect.  The same write is sent again;
- * if the first one did, its own row comes back as a conflict and the claim's
- * owner recognises it.
+ * Queues an operation again that got no reply.  A write may have taken effect
+ * nevertheless; then the second one conflicts with the operation's own row,
+ * which the owner of the claim recognises.
  */
 static void
-try_again (struct claims *c, struct claim_op *op, int tries)
+retry_op (struct claims *c, struct claim_op *op, int tries)
 {
   op->tries++;
   if (!op->retry_until_reply && op->tries >= tries)
     {
-      complete (op, CLAIM_OP_NO_REPLY);
+      complete_op (op, CLAIM_OP_NO_REPLY);
       return;
     }
-  op->due_us = loop_now_us () + pause_after (op);
-  push_front (c, op);
+  op->due_us = loop_now_us () + retry_pause_us (op);
+  requeue_op (c, op);
 }
 
 static struct claim_op *
-pop_op (struct batch *b)
+batch_pop (struct batch *b)
 {
   struct claim_op *op = APR_RING_FIRST (&b->ops);
 
@@ -126,7 +125,7 @@
 }
 
 static const struct table_row *
-row_at (const struct table_reply *reply, int index)
+find_row (const struct table_reply *reply, int index)
 {
   int i;
 
@@ -137,7 +136,7 @@
 }
 
 static void
-settle_written (struct batch *b, const struct table_reply *reply)
+complete_written (struct batch *b, const struct table_reply *reply)
 {
   const struct table_row *row;
   struct claim_op *op;
@@ -145,15 +144,15 @@
 
   for (i = 0; i < b->n; i++)
     {
-      op = pop_op (b);
-      row = row_at (reply, i);
+      op = batch_pop (b);
+      row = find_row (reply, i);
       op->row_version = row ? row->version : 0;
-      complete (op, CLAIM_OP_DONE);
+      complete_op (op, CLAIM_OP_DONE);
     }
 }
 
 static void
-settle_conflict (struct batch *b, const struct table_reply *reply)
+complete_conflicts (struct batch *b, const struct table_reply *reply)
 {
   const struct table_row *row;
   struct claim_op *op;
@@ -161,26 +160,26 @@
 
   for (i = 0; i < b->n; i++)
     {
-      op = pop_op (b);
-      row = row_at (reply, i);
+      op = batch_pop (b);
+      row = find_row (reply, i);
       if (row == NULL)
         {
-          push_front (b->claims, op);
+          requeue_op (b->claims, op);
           continue;
         }
       op->row_version = row->version;
       op->row = json_incref (row->value);
-      complete (op, CLAIM_OP_CONFLICT);
+      complete_op (op, CLAIM_OP_CONFLICT);
     }
 }
 
 static void
-settle_lost (struct batch *b, int tries)
+retry_batch (struct batch *b, int tries)
 {
   int i;
 
   for (i = 0; i < b->n; i++)
-    try_again (b->claims, pop_op (b), tries);
+    retry_op (b->claims, batch_pop (b), tries);
 }
 
 static void
@@ -189,20 +188,20 @@
   struct batch *b = arg;
   struct claims *c = b->claims;
 
-  c->in_flight--;
+  c->ntransactions--;
   switch (reply->code)
     {
     case TABLE_OK:
-      settle_written (b, reply);
+      complete_written (b, reply);
       break;
     case TABLE_CONFLICT:
-      settle_conflict (b, reply);
+      complete_conflicts (b, reply);
       break;
     case TABLE_BUSY:
-      settle_lost (b, c->opts.tries * BUSY_FACTOR);
+      retry_batch (b, c->opts.tries * BUSY_TRIES_FACTOR);
       break;
     case TABLE_LOST:
-      settle_lost (b, c->opts.tries);
+      retry_batch (b, c->opts.tries);
       break;
     }
   g_free (b->writes);
@@ -213,12 +212,12 @@
 /* --- transactions ---------------------------------------------------- */
 
 static void
-take_op (struct batch *b, struct claim_op *op)
+batch_add (struct batch *b, struct claim_op *op)
 {
   struct claims *c = b->claims;
 
   APR_RING_REMOVE (op, link);
-  c->nwaiting--;
+  c->nqueued--;
   APR_RING_INSERT_TAIL (&b->ops, op, claim_op, link);
   b->writes[b->n].key = op->key;
   b->writes[b->n].version = op->version;
@@ -226,63 +225,64 @@
   b->n++;
 }
 
-/* A write that lingers joins any transaction; one that was tried before waits
-   out its pause. */
+/* A new write may join any transaction before its linger time ends; a retried
+   one must wait for the end of its pause. */
 static bool
-ready (const struct claim_op *op, int64_t now_us)
+is_due (const struct claim_op *op, int64_t now_us)
 {
   return op->tries == 0 || op->due_us <= now_us;
 }
 
-/* Two writes of one row in one transaction would both meet its old state and
-   both succeed, so a row is taken once. */
+/* Moves due writes into the batch, at most one per row: two writes of one row
+   in a transaction would both be checked against its old version and both
+   succeed. */
 static void
-fill (struct batch *b, int64_t now_us)
+batch_fill (struct batch *b, int64_t now_us)
 {
   struct claims *c = b->claims;
   g_autoptr (GHashTable) keys = g_hash_table_new (g_str_hash, g_str_equal);
   struct claim_op *op, *next;
 
-  for (op = APR_RING_FIRST (&c->waiting);
-       op != APR_RING_SENTINEL (&c->waiting, claim_op, link)
+  for (op = APR_RING_FIRST (&c->queue);
+       op != APR_RING_SENTINEL (&c->queue, claim_op, link)
        && b->n < c->opts.batch;
        op = next)
     {
       next = APR_RING_NEXT (op, link);
-      if (!op->is_read && ready (op, now_us)
+      if (!op->is_read && is_due (op, now_us)
           && g_hash_table_add (keys, op->key))
-        take_op (b, op);
+        batch_add (b, op);
     }
 }
 
 static bool
-send_batch (struct claims *c, int64_t now_us)
+batch_send (struct claims *c, int64_t now_us)
 {
   struct batch *b = g_new0 (struct batch, 1);
 
   b->claims = c;
   b->writes = g_new0 (struct table_write, c->opts.batch);
   APR_RING_INIT (&b->ops, claim_op, link);
-  fill (b, now_us);
+  batch_fill (b, now_us);
   if (b->n == 0)
     {
       g_free (b->writes);
       g_free (b);
       return false;
     }
-  c->in_flight++;
+  c->ntransactions++;
   c->opts.table.commit (c->opts.table.ctx, b->writes, b->n, on_committed, b);
   return true;
 }
 
-/* Earliest time at which a waiting write may be sent. */
+/* Returns the earliest time at which a queued operation may run. */
 static int64_t
-next_due (const struct claims *c)
+earliest_due_us (const struct claims *c)
 {
   const struct claim_op *op;
   int64_t due = INT64_MAX;
 
-  APR_RING_FOREACH (op, &c->waiting, claim_op, link)
+  APR_RING_FOREACH (op, &c->queue, claim_op, link)
   {
     if (op->due_us < due)
       due = op->due_us;
@@ -293,13 +293,13 @@
 /* --- reads ----------------------------------------------------------- */
 
 static void
-on_read (void *arg, const struct table_reply *reply)
+on_row_read (void *arg, const struct table_reply *reply)
 {
   struct claim_op *op = arg;
 
   if (reply->code != TABLE_OK)
     {
-      try_again (op->claims, op, 1);
+      retry_op (op->claims, op, 1);
       flush (op->claims);
       return;
     }
@@ -308,29 +308,29 @@
       op->row_version = reply->rows[0].version;
       op->row = json_incref (reply->rows[0].value);
     }
-  complete (op, CLAIM_OP_DONE);
+  complete_op (op, CLAIM_OP_DONE);
 }
 
 static void
 start_read (struct claims *c, struct claim_op *op)
 {
-  c->opts.table.read (c->opts.table.ctx, op->key, on_read, op);
+  c->opts.table.read (c->opts.table.ctx, op->key, on_row_read, op);
 }
 
-/* Reads that wait out a pause. */
+/* Starts the retried reads whose pause has ended. */
 static void
 start_due_reads (struct claims *c, int64_t now_us)
 {
   struct claim_op *op, *next;
 
-  for (op = APR_RING_FIRST (&c->waiting);
-       op != APR_RING_SENTINEL (&c->waiting, claim_op, link); op = next)
+  for (op = APR_RING_FIRST (&c->queue);
+       op != APR_RING_SENTINEL (&c->queue, claim_op, link); op = next)
     {
       next = APR_RING_NEXT (op, link);
       if (!op->is_read || op->due_us > now_us)
         continue;
       APR_RING_REMOVE (op, link);
-      c->nwaiting--;
+      c->nqueued--;
       start_read (c, op);
     }
 }
@@ -343,11 +343,11 @@
   int64_t now = loop_now_us ();
 
   start_due_reads (c, now);
-  while (c->nwaiting > 0 && c->in_flight < MAX_IN_FLIGHT)
-    if (!send_batch (c, now))
+  while (c->nqueued > 0 && c->ntransactions < TRANSACTIONS_MAX)
+    if (!batch_send (c, now))
       break;
-  if (c->nwaiting > 0 && c->in_flight < MAX_IN_FLIGHT)
-    loop_arm (c->opts.loop, &c->timer, next_due (c));
+  if (c->nqueued > 0 && c->ntransactions < TRANSACTIONS_MAX)
+    loop_arm (c->opts.loop, &c->timer, earliest_due_us (c));
 }
 
 static void
@@ -360,7 +360,7 @@
 /* --- interface ------------------------------------------------------- */
 
 static void
-accept_op (void *arg)
+on_submitted (void *arg)
 {
   struct claim_op *op = arg;
   struct claims *c = op->claims;
@@ -371,12 +371,12 @@
       start_read (c, op);
       return;
     }
-  APR_RING_INSERT_TAIL (&c->waiting, op, claim_op, link);
-  c->nwaiting++;
-  /* A lone write does not wait for others longer than it must; while all
-     transactions are under way, writes gather by themselves. */
+  APR_RING_INSERT_TAIL (&c->queue, op, claim_op, link);
+  c->nqueued++;
+  /* A single write waits at most linger_us for others; while the maximum
+     number of transactions is in progress, writes queue up anyway. */
   op->due_us = now + c->opts.linger_us;
-  if (c->nwaiting >= c->opts.batch || c->opts.linger_us == 0)
+  if (c->nqueued >= c->opts.batch || c->opts.linger_us == 0)
     {
       op->due_us = now;
       flush (c);
@@ -385,12 +385,13 @@
     loop_arm (c->opts.loop, &c->timer, op->due_us);
 }
 
-/* Any thread: run OP; its done is called on its home loop. */
+/* Submits OP, which the runner frees; op->done is called on op->home_loop.
+   Any thread. */
 void
 claims_submit (struct claims *c, struct claim_op *op)
 {
   op->claims = c;
-  op->msg.run = accept_op;
+  op->msg.run = on_submitted;
   op->msg.arg = op;
   loop_post (c->opts.loop, &op->msg);
 }
@@ -401,7 +402,7 @@
   struct claims *c = g_new0 (struct claims, 1);
 
   c->opts = *opts;
-  APR_RING_INIT (&c->waiting, claim_op, link);
+  APR_RING_INIT (&c->queue, claim_op, link);
   c->timer.fire = on_timer;
   c->timer.arg = c;
   return c;
@@ -414,9 +415,9 @@
 
   if (c == NULL)
     return;
-  while (!APR_RING_EMPTY (&c->waiting, claim_op, link))
+  while (!APR_RING_EMPTY (&c->queue, claim_op, link))
     {
-      op = APR_RING_FIRST (&c->waiting);
+      op = APR_RING_FIRST (&c->queue);
       APR_RING_REMOVE (op, link);
       op_free (op);
     }
--- a/history.c
+++ b/history.c
@@ -1,4 +1,4 @@
-/* History: the last finished requests, kept to explain them. */
+/* History: records of the most recent requests, used to explain them. */
 #include "libserver.h"
 
 #include <string.h>
@@ -6,23 +6,23 @@
 /* A finished request. */
 struct record
 {
-  APR_RING_ENTRY (record) link; /* by age, oldest first */
+  APR_RING_ENTRY (record) link; /* in history->records */
   char id[ID_SIZE];             /* request id */
-  int workspace;                /* whose */
-  int service;                  /* asked for */
-  enum outcome outcome;         /* what became of it */
-  char *reason;                 /* why */
-  int64_t whole_us;             /* from arrival to end */
-  char *trace;                  /* its log lines */
+  int workspace;                /* index of the workspace */
+  int service;                  /* index of the service */
+  enum outcome outcome;         /* outcome */
+  char *reason;                 /* code of the reason */
+  int64_t whole_us;             /* time from arrival to end */
+  char *trace;                  /* logged events */
 };
 
 struct history
 {
-  GMutex lock;                                 /* guards the rest */
-  struct server *server;                       /* for names */
-  APR_RING_HEAD (record_ring, record) records; /* all records */
-  GHashTable *by_id;                           /* id to record */
-  int max;                                     /* records kept */
+  GMutex lock;           /* guards the fields below */
+  struct server *server; /* provides the names in the settings */
+  APR_RING_HEAD (record_ring, record) records; /* all records, oldest first */
+  GHashTable *by_id;                           /* request id to record */
+  int max;                                     /* maximum number of records */
 };
 
 static void
@@ -92,7 +92,7 @@
   return list;
 }
 
-/* Another workspace's request answers as one that does not exist. */
+/* A request of another workspace looks like one that does not exist. */
 json_t *
 history_get (struct history *h, const char *id, int workspace)
 {
--- a/joblog.c
+++ b/joblog.c
@@ -1,11 +1,12 @@
-/* What each part of a job's life needs: its log and its memory. */
+/* Logging and memory accounting, used by all job modules. */
 #include "libserver.h"
 
 #include <string.h>
 
 #define TRACE_MAX_BYTES 8192
 
-/* Log an event of a job, and keep the line to explain the job later. */
+/* Logs an event of a job, and appends it to the trace that explains the job.
+ */
 void
 job_log (struct job *j, const char *event, const char *fmt, ...)
 {
@@ -23,7 +24,7 @@
                             pairs);
 }
 
-/* Count BYTES as held for a job. */
+/* Adds BYTES to the memory charged for request bodies. */
 void
 job_charge_memory (struct job *j, int64_t bytes)
 {
@@ -53,7 +54,7 @@
   g_free (j);
 }
 
-/* Free a job that has ended once nothing is under way for it. */
+/* Frees a job that has ended and has no operation or message pending. */
 void
 job_free_if_done (struct job *j)
 {
--- a/jobreply.c
+++ b/jobreply.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static char *
-error_text (enum outcome outcome, const char *reason)
+error_json (enum outcome outcome, const char *reason)
 {
   const struct refusal *f = refusal_find (reason);
   json_t *doc
@@ -18,7 +18,7 @@
   return text;
 }
 
-/* The stream began: events follow. */
+/* Starts a streamed reply; events follow. */
 void
 jobreply_begin_stream (struct job *j)
 {
@@ -26,8 +26,8 @@
   j->caller->begin (j->caller_arg, "text/event-stream");
 }
 
-/* A broken stream ends in an error event and without the last chunk, so that
-   nobody can take it for a finished one. */
+/* Ends the stream.  A broken one gets an error event and no last chunk, so
+   that the caller cannot mistake it for a complete one. */
 static void
 end_stream (struct job *j, enum outcome outcome, const char *reason)
 {
@@ -36,16 +36,16 @@
 
   if (outcome != OUT_ANSWERED)
     {
-      text = error_text (outcome, reason);
+      text = error_json (outcome, reason);
       event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
       j->caller->stream_write (j->caller_arg, event, strlen (event));
     }
   j->caller->end (j->caller_arg, outcome == OUT_ANSWERED);
 }
 
-/* Whether the endpoint's own reply is what the caller gets. */
+/* Returns true if the caller gets the endpoint's own reply. */
 static bool
-has_answer (const struct job *j, enum outcome outcome)
+is_answer_forwarded (const struct job *j, enum outcome outcome)
 {
   if (outcome == OUT_ANSWERED)
     return true;
@@ -70,7 +70,7 @@
 reply_error (struct job *j, enum outcome outcome, const char *reason,
              int64_t retry_after_us)
 {
-  g_autofree char *text = error_text (outcome, reason);
+  g_autofree char *text = error_json (outcome, reason);
   struct reply reply = { .status = refusal_find (reason)->status };
 
   reply.content_type = "application/json";
@@ -81,7 +81,7 @@
   j->caller->reply (j->caller_arg, &reply);
 }
 
-/* Tell the caller what became of the request. */
+/* Sends the outcome of the request to the caller. */
 void
 jobreply_send_outcome (struct job *j, enum outcome outcome, const char *reason,
                        int64_t retry_after_us)
@@ -90,7 +90,7 @@
     return;
   if (j->stream_begun)
     end_stream (j, outcome, reason);
-  else if (has_answer (j, outcome))
+  else if (is_answer_forwarded (j, outcome))
     reply_answer (j, outcome);
   else
     reply_error (j, outcome, reason, retry_after_us);
