--- a/api.c
+++ b/api.c
@@ -1,17 +1,15 @@
 /*
- * The product's own interface to callers and operators: its table of paths,
- * its keys, its refusals.
+ * HTTP interface for callers and operators: routing table, authentication and
+ * early refusals.
  */
 #include "libserver.h"
 
 #include <string.h>
 
-#define CONNECTION_MEMORY                                                     \
-  12288                        /* bytes a connection, for head and buffers    \
-                                */
-#define CONTROL_BODY_MAX 65536 /* bytes of an operator's request */
+#define CONNECTION_MEMORY 12288 /* per connection: header and buffers */
+#define OPERATOR_BODY_MAX 65536 /* bytes of an operator's request */
 
-/* Refuse a request that never became a job. */
+/* Refuses a request for which no job was created. */
 static void
 refuse_early (struct req *r, const char *code, int64_t retry_after_us)
 {
@@ -20,10 +18,10 @@
   req_refuse (r, code, retry_after_us);
 }
 
-/* --- requests that become jobs --------------------------------------- */
+/* --- requests that start jobs ---------------------------------------- */
 
 static void
-on_began (void *arg, struct job *j)
+on_job_started (void *arg, struct job *j)
 {
   struct req *r = arg;
 
@@ -31,7 +29,7 @@
 }
 
 static void
-on_ended (void *arg)
+on_job_ended (void *arg)
 {
   struct req *r = arg;
 
@@ -45,31 +43,31 @@
 }
 
 static void
-on_begin (void *arg, const char *content_type)
+on_stream_begin (void *arg, const char *content_type)
 {
   req_stream_begin (arg, content_type);
 }
 
 static void
-on_write (void *arg, const char *data, size_t len)
+on_stream_write (void *arg, const char *data, size_t len)
 {
   req_stream_write (arg, data, len);
 }
 
 static void
-on_end (void *arg, bool whole)
+on_stream_end (void *arg, bool whole)
 {
   req_stream_end (arg, whole);
 }
 
 static size_t
-on_pending (void *arg)
+on_stream_pending (void *arg)
 {
   return req_stream_pending (arg);
 }
 
 static void
-on_look (void *arg)
+check_connection (void *arg)
 {
   struct req *r = arg;
 
@@ -78,18 +76,18 @@
 }
 
 static const struct job_caller job_caller = {
-  .started = on_began,
-  .ended = on_ended,
+  .started = on_job_started,
+  .ended = on_job_ended,
   .reply = on_reply,
-  .begin = on_begin,
-  .stream_write = on_write,
-  .end = on_end,
-  .stream_pending = on_pending,
-  .look = on_look,
+  .begin = on_stream_begin,
+  .stream_write = on_stream_write,
+  .end = on_stream_end,
+  .stream_pending = on_stream_pending,
+  .look = check_connection,
 };
 
 static struct job_desc
-describe (struct req *r)
+job_desc_from_req (struct req *r)
 {
   struct job_desc d = { .worker = r->worker, .workspace = r->workspace };
 
@@ -110,7 +108,7 @@
 static void
 start_prompt (struct req *r)
 {
-  struct job_desc d = describe (r);
+  struct job_desc d = job_desc_from_req (r);
   const char *code = job_start_prompt (&d, false);
 
   if (code != NULL)
@@ -120,7 +118,7 @@
 static void
 start_chat (struct req *r)
 {
-  struct job_desc d = describe (r);
+  struct job_desc d = job_desc_from_req (r);
   const char *code = job_start_prompt (&d, true);
 
   if (code != NULL)
@@ -130,14 +128,14 @@
 static void
 start_call (struct req *r)
 {
-  struct job_desc d = describe (r);
+  struct job_desc d = job_desc_from_req (r);
   const char *code = job_start_call (&d);
 
   if (code != NULL)
     req_refuse (r, code, 0);
 }
 
-/* --- heads ----------------------------------------------------------- */
+/* --- routing and authentication -------------------------------------- */
 
 static const struct req_route req_routes[] = {
   { "POST", "/v1/completions", KEY_WORKSPACE, start_prompt },
@@ -175,7 +173,8 @@
   return NULL;
 }
 
-/* Find who asks; the same answer for an unknown name and a wrong secret. */
+/* Identifies the caller by its key.  An unknown name and a wrong secret get
+   the same reply. */
 static bool
 authenticate (struct req *r)
 {
@@ -209,11 +208,11 @@
   const struct cfg *cfg = server_cfg (r->worker->server);
 
   if (r->workspace < 0)
-    return CONTROL_BODY_MAX;
+    return OPERATOR_BODY_MAX;
   return (size_t)cfg_workspace (cfg, r->workspace)->body_max_kb * 1024;
 }
 
-/* The declared length, or -1. */
+/* Returns the value of Content-Length, or -1. */
 static int64_t
 declared_length (struct req *r)
 {
@@ -226,9 +225,9 @@
   return (int64_t)n;
 }
 
-/* Judge the head of a request; a refusal set here spares reading the body. */
+/* Checks the header of a request; a refusal here avoids reading the body. */
 static void
-judge_head (struct req *r, const char *method)
+check_head (struct req *r, const char *method)
 {
   r->route = find_route (method, r->path);
   if (r->route == NULL)
@@ -248,7 +247,7 @@
 }
 
 static void
-start (struct req *r)
+on_start (struct req *r)
 {
   if (r->excess == EXCESS_BODY)
     refuse_early (r, "body_too_large", 0);
@@ -259,27 +258,27 @@
 }
 
 static void
-drained (struct req *r)
+on_drained (struct req *r)
 {
   if (r->job != NULL)
     job_drained (r->job);
 }
 
 static void
-gone (struct req *r)
+on_gone (struct req *r)
 {
   if (r->job != NULL)
     job_caller_disconnected (r->job);
 }
 
 static const struct door_ops api_ops = {
-  .head = judge_head,
-  .start = start,
-  .drained = drained,
-  .gone = gone,
+  .head = check_head,
+  .start = on_start,
+  .drained = on_drained,
+  .gone = on_gone,
 };
 
-/* Open the door of the product's own interface. */
+/* Starts listening for callers and operators on worker W. */
 struct door *
 api_open (struct worker *w)
 {
--- a/endpointclient.c
+++ b/endpointclient.c
@@ -1,4 +1,4 @@
-/* Endpoints over HTTP: calls and load reports. */
+/* HTTP client of endpoints: calls and load reports. */
 #include "adapter.h"
 
 #include <glib.h>
@@ -9,10 +9,10 @@
 #define LOAD_TIMEOUT_MS 2000
 #define REPORT_MAX_BYTES 65536
 
-/* A request for a load report under way. */
+/* A request for a load report in progress. */
 struct load_call
 {
-  load_done done; /* whom to tell */
+  load_done done; /* completion callback */
   void *arg;      /* passed to done */
 };
 
@@ -63,7 +63,7 @@
 }
 
 static void
-read_events (const json_t *doc, struct load_report *r)
+parse_events (const json_t *doc, struct load_report *r)
 {
   const json_t *removed = json_object_get (doc, "removed");
   const char *hex;
@@ -81,21 +81,21 @@
 }
 
 static bool
-read_report (const GString *body, struct load_report *r)
+parse_report (const GString *body, struct load_report *r)
 {
   json_t *doc = json_loadb (body->str, body->len, 0, NULL);
   bool good = json_is_object (doc);
 
   r->route.running = (int)int_field (doc, "running");
   r->route.queued_tokens = int_field (doc, "queued_tokens");
-  /* The report tells how old it is; what was sent since then it misses. */
+  /* The report includes its age; it does not cover what was sent since. */
   r->route.at_us -= int_field (doc, "age_ms") * 1000;
   r->route.leaving = json_is_true (json_object_get (doc, "leaving"));
   copy_field (doc, "version", r->route.version, sizeof r->route.version);
   copy_field (doc, "incarnation", r->route.incarnation,
               sizeof r->route.incarnation);
   r->filled_tokens = int_field (doc, "filled_tokens");
-  read_events (json_object_get (doc, "events"), r);
+  parse_events (json_object_get (doc, "events"), r);
   json_decref (doc);
   return good;
 }
@@ -108,15 +108,15 @@
   bool good;
 
   report->route.at_us = loop_now_us ();
-  good = status == 200 && read_report (body, report);
+  good = status == 200 && parse_report (body, report);
   c->done (c->arg, good, report);
   g_free (report);
   g_free (c);
 }
 
 static void
-ask_load (void *ctx, const char *address, int64_t since, load_done done,
-          void *arg)
+request_load (void *ctx, const char *address, int64_t since, load_done done,
+              void *arg)
 {
   g_autofree char *url = g_strdup_printf (
       "http://%s/load?since=%" G_GINT64_FORMAT, address, (gint64)since);
@@ -138,6 +138,6 @@
   ops->call = start_call;
   ops->cancel = cancel_call;
   ops->unpause = unpause_call;
-  ops->load = ask_load;
+  ops->load = request_load;
   ops->ctx = pool;
 }
--- a/objectclient.c
+++ b/objectclient.c
@@ -7,18 +7,18 @@
 
 #define OBJECT_MAX_BYTES (64UL * 1024 * 1024)
 
-/* The object store as this process reaches it. */
-struct store
+/* Client of the object store. */
+struct object_client
 {
-  struct xfer_pool *pool; /* transfers */
+  struct xfer_pool *pool; /* runs the transfers */
   char *url;              /* base URL */
-  int64_t timeout_ms;     /* after which a reply counts as lost */
+  int64_t timeout_ms;     /* after which a call counts as lost */
 };
 
-/* A call under way. */
+/* A call in progress. */
 struct object_call
 {
-  object_done done; /* whom to tell */
+  object_done done; /* completion callback */
   void *arg;        /* passed to done */
 };
 
@@ -32,8 +32,8 @@
 }
 
 static void
-start (struct store *s, const char *method, const char *name, const char *data,
-       size_t len, object_done done, void *arg)
+start_request (struct object_client *s, const char *method, const char *name,
+               const char *data, size_t len, object_done done, void *arg)
 {
   g_autofree char *escaped = g_uri_escape_string (name, NULL, FALSE);
   g_autofree char *url = g_strconcat (s->url, "/objects/", escaped, NULL);
@@ -55,20 +55,20 @@
 put (void *ctx, const char *name, const char *data, size_t len,
      object_done done, void *arg)
 {
-  start (ctx, "PUT", name, data, len, done, arg);
+  start_request (ctx, "PUT", name, data, len, done, arg);
 }
 
 static void
 get (void *ctx, const char *name, object_done done, void *arg)
 {
-  start (ctx, "GET", name, NULL, 0, done, arg);
+  start_request (ctx, "GET", name, NULL, 0, done, arg);
 }
 
 void
 objectclient_init (struct object_ops *ops, struct xfer_pool *pool,
                    const char *url, int64_t timeout_ms)
 {
-  struct store *s = g_new0 (struct store, 1);
+  struct object_client *s = g_new0 (struct object_client, 1);
 
   s->pool = pool;
   s->url = g_strdup (url);
@@ -81,7 +81,7 @@
 void
 objectclient_clear (struct object_ops *ops)
 {
-  struct store *s = ops->ctx;
+  struct object_client *s = ops->ctx;
 
   if (s == NULL)
     return;
--- a/poll.c
+++ b/poll.c
@@ -1,35 +1,35 @@
 /*
- * Load reports: each endpoint is asked at an interval, with jitter so that
- * the VMs do not ask in step.
+ * Load reports: polls each endpoint at an interval, with jitter so that the
+ * VMs do not poll in step.
  */
 #include "libserver.h"
 
 #include <string.h>
 
-#define FIRST_ROUND_US (2 * CQ_US_PER_S) /* then serve without all reports */
+#define STARTUP_WAIT_MAX_US (2 * CQ_US_PER_S) /* for the first reports */
 #define JITTER_PERCENT 20
-#define GONE_AFTER 3 /* reports missed in a row before a place is doubted */
+#define MISSED_REPORTS_MAX 3 /* in a row; then counts as unreachable */
 
-/* What is asked of one endpoint. */
-struct target
+/* Polling state of one endpoint. */
+struct endpoint_poll
 {
-  struct poller *poller; /* whose */
-  int endpoint;          /* index */
-  bool asked;            /* a report is under way */
-  bool heard;            /* asked at least once to the end */
+  struct poller *poller; /* poller that it belongs to */
+  int endpoint;          /* index of the endpoint */
+  bool in_progress;      /* a request for a report is pending */
+  bool first_poll_done;  /* at least one poll has completed or failed */
   int missed;            /* reports missed in a row */
-  int64_t next_us;       /* when to ask again */
+  int64_t next_us;       /* time of the next poll */
   int64_t next_event;    /* number of the next cache event */
 };
 
 struct poller
 {
-  struct server *server;   /* whose endpoints */
-  struct worker *worker;   /* whose thread asks */
-  struct loop_timer timer; /* next look */
-  struct target *targets;  /* one for each endpoint */
-  int n;                   /* their number */
-  GRand *rand;             /* jitter */
+  struct server *server;       /* server whose endpoints are polled */
+  struct worker *worker;       /* worker whose thread polls */
+  struct loop_timer timer;     /* fires for the next poll */
+  struct endpoint_poll *polls; /* one per endpoint */
+  int n;                       /* number of endpoints */
+  GRand *rand;                 /* source of the jitter */
 };
 
 static int64_t
@@ -41,9 +41,10 @@
   return us - spread / 2 + (int64_t)(g_rand_double (p->rand) * (double)spread);
 }
 
-/* Serve once every endpoint has been asked, or enough time has passed. */
+/* Starts serving once every endpoint was polled or STARTUP_WAIT_MAX_US passed.
+ */
 static void
-check_started (struct poller *p, int64_t now_us)
+check_startup (struct poller *p, int64_t now_us)
 {
   int i;
 
@@ -51,14 +52,14 @@
       || (p->server->conf != NULL && !conf_ready (p->server->conf)))
     return;
   for (i = 0; i < p->n; i++)
-    if (!p->targets[i].heard
-        && now_us - p->server->started_us < FIRST_ROUND_US)
+    if (!p->polls[i].first_poll_done
+        && now_us - p->server->started_us < STARTUP_WAIT_MAX_US)
       return;
   server_set_phase (p->server, PHASE_SERVING);
 }
 
 static void
-log_change (struct target *t, const struct route_report *old,
+log_change (struct endpoint_poll *t, const struct route_report *old,
             const struct route_report *new)
 {
   const char *id
@@ -72,19 +73,20 @@
                new->version, new->incarnation, new->leaving);
 }
 
-/* A new life or other weights: nothing it cached before is there any more. */
+/* Returns true if the endpoint restarted or changed its weight version, and so
+   lost what it had cached. */
 static bool
-cache_lost (const struct route_report *old, const struct route_report *new)
+is_cache_lost (const struct route_report *old, const struct route_report *new)
 {
   return old->at_us != 0
          && (strcmp (old->incarnation, new->incarnation) != 0
              || strcmp (old->version, new->version) != 0);
 }
 
-/* Cache events: what was evicted is not counted on; where numbers are missing
-   the endpoint's entries become doubtful. */
+/* Applies cache events: removes evicted blocks from the prefix index.  If
+   event numbers are missing, all entries of the endpoint become uncertain. */
 static void
-take_events (struct target *t, const struct load_report *report)
+apply_cache_events (struct endpoint_poll *t, const struct load_report *report)
 {
   struct pfx *p = t->poller->server->prefixes;
   int i;
@@ -103,7 +105,7 @@
 }
 
 static void
-take_report (struct target *t, const struct load_report *report)
+apply_report (struct endpoint_poll *t, const struct load_report *report)
 {
   struct server *s = t->poller->server;
   const struct route_report *now = &report->route;
@@ -113,26 +115,27 @@
   old = route_get (s->routes, t->endpoint)->report;
   route_reported (s->routes, t->endpoint, now);
   route_result (s->routes, t->endpoint, ROUTE_REACHED, now->at_us);
-  if (cache_lost (&old, now))
+  if (is_cache_lost (&old, now))
     {
       pfx_forget_endpoint (s->prefixes, t->endpoint);
       t->next_event = 0;
     }
   pfx_filled (s->prefixes, t->endpoint, report->filled_tokens);
-  take_events (t, report);
+  apply_cache_events (t, report);
   g_mutex_unlock (&s->route_lock);
   log_change (t, &old, now);
 }
 
-/* An endpoint that does not answer is not chosen before it answers again. */
+/* After MISSED_REPORTS_MAX missed reports the endpoint is not chosen until it
+   replies again. */
 static void
-miss_report (struct target *t, int64_t now_us)
+report_missed (struct endpoint_poll *t, int64_t now_us)
 {
   struct server *s = t->poller->server;
 
-  if (++t->missed < GONE_AFTER)
+  if (++t->missed < MISSED_REPORTS_MAX)
     return;
-  if (t->missed == GONE_AFTER)
+  if (t->missed == MISSED_REPORTS_MAX)
     log_event (LOG_LEVEL_WARNING, "endpoint", "endpoint=%s silent=1",
                cfg_endpoint (server_cfg (s), t->endpoint)->id);
   g_mutex_lock (&s->route_lock);
@@ -143,20 +146,20 @@
 static void
 on_report (void *arg, bool reached, const struct load_report *report)
 {
-  struct target *t = arg;
+  struct endpoint_poll *t = arg;
   int64_t now = loop_now_us ();
 
-  t->asked = false;
-  t->heard = true;
+  t->in_progress = false;
+  t->first_poll_done = true;
   t->next_us = now + interval_us (t->poller);
   if (reached)
     {
       t->missed = 0;
-      take_report (t, report);
+      apply_report (t, report);
     }
   else
-    miss_report (t, now);
-  check_started (t->poller, now);
+    report_missed (t, now);
+  check_startup (t->poller, now);
 }
 
 static void
@@ -164,27 +167,27 @@
 {
   struct poller *p = arg;
   struct endpoint_ops *ops = &p->worker->endpoints;
-  struct target *t;
+  struct endpoint_poll *t;
   int64_t next = now_us + CQ_US_PER_S;
   int i;
 
   p->n = cfg_count (server_cfg (p->server), CFG_ENDPOINT);
   for (i = 0; i < p->n; i++)
     {
-      t = &p->targets[i];
+      t = &p->polls[i];
       if (cfg_endpoint (server_cfg (p->server), i)->removed)
         continue;
-      if (!t->asked && t->next_us <= now_us)
+      if (!t->in_progress && t->next_us <= now_us)
         {
-          t->asked = true;
+          t->in_progress = true;
           ops->load (ops->ctx,
                      cfg_endpoint (server_cfg (p->server), i)->address,
                      t->next_event, on_report, t);
         }
-      if (!t->asked && t->next_us < next)
+      if (!t->in_progress && t->next_us < next)
         next = t->next_us;
     }
-  check_started (p, now_us);
+  check_startup (p, now_us);
   if (next > now_us + CQ_US_PER_S / 10)
     next = now_us + CQ_US_PER_S / 10;
   loop_arm (p->worker->loop, &p->timer, next);
@@ -198,17 +201,17 @@
 
   p->server = s;
   p->worker = w;
-  p->targets = g_new0 (struct target, s->max_endpoints);
+  p->polls = g_new0 (struct endpoint_poll, s->max_endpoints);
   p->rand = g_rand_new ();
   for (i = 0; i < s->max_endpoints; i++)
-    p->targets[i] = (struct target){ .poller = p, .endpoint = i };
+    p->polls[i] = (struct endpoint_poll){ .poller = p, .endpoint = i };
   p->timer.fire = on_timer;
   p->timer.arg = p;
   loop_arm (w->loop, &p->timer, loop_now_us ());
   return p;
 }
 
-/* Ask for no more reports. */
+/* Stops polling. */
 void
 poller_stop (struct poller *p)
 {
@@ -220,6 +223,6 @@
 {
   loop_disarm (&p->timer);
   g_rand_free (p->rand);
-  g_free (p->targets);
+  g_free (p->polls);
   g_free (p);
 }
--- a/tableclient.c
+++ b/tableclient.c
@@ -5,7 +5,7 @@
  *               200 {"versions":[...]}                    committed
  *               409 {"conflicts":[{"index":I,"version":N,"value":{...}}]}
  *               429                                       over the rate limit
- *   GET /rows/K 200 {"version":N,"value":{...}}, 404 if there is none
+ *   GET /rows/K 200 {"version":N,"value":{...}}, or 404 if absent
  */
 #include "adapter.h"
 
@@ -16,23 +16,23 @@
 
 #define REPLY_MAX_BYTES (64UL * 1024 * 1024)
 
-/* The table as this process reaches it. */
-struct table
+/* Client of the platform's table. */
+struct table_client
 {
-  struct xfer_pool *pool; /* transfers */
+  struct xfer_pool *pool; /* runs the transfers */
   char *url;              /* base URL */
-  int64_t timeout_ms;     /* after which a reply counts as lost */
+  int64_t timeout_ms;     /* after which a call counts as lost */
 };
 
-/* A call under way. */
+/* A call in progress. */
 struct table_call
 {
-  table_done done; /* whom to tell */
+  table_done done; /* completion callback */
   void *arg;       /* passed to done */
 };
 
 static struct table_row
-read_row (const json_t *doc)
+parse_row (const json_t *doc)
 {
   struct table_row row = { 0 };
 
@@ -43,7 +43,7 @@
 }
 
 static struct table_row *
-read_versions (const json_t *list, int n)
+parse_versions (const json_t *list, int n)
 {
   struct table_row *rows = g_new0 (struct table_row, n + 1);
   int i;
@@ -57,19 +57,20 @@
 }
 
 static struct table_row *
-read_conflicts (const json_t *list, int n)
+parse_conflicts (const json_t *list, int n)
 {
   struct table_row *rows = g_new0 (struct table_row, n + 1);
   int i;
 
   for (i = 0; i < n; i++)
-    rows[i] = read_row (json_array_get (list, i));
+    rows[i] = parse_row (json_array_get (list, i));
   return rows;
 }
 
-/* A reply that cannot be understood proves nothing, so it counts as lost. */
+/* Parses a reply.  One that cannot be parsed does not tell whether the call
+   took effect, so it counts as lost. */
 static void
-read_reply (int status, const json_t *doc, struct table_reply *r)
+parse_reply (int status, const json_t *doc, struct table_reply *r)
 {
   const json_t *versions = json_object_get (doc, "versions");
   const json_t *conflicts = json_object_get (doc, "conflicts");
@@ -83,20 +84,20 @@
     {
       r->code = TABLE_OK;
       r->nrows = (int)json_array_size (versions);
-      r->rows = read_versions (versions, r->nrows);
+      r->rows = parse_versions (versions, r->nrows);
     }
   else if (status == 200 && json_is_object (doc))
     {
       r->code = TABLE_OK;
       r->nrows = 1;
       r->rows = g_new0 (struct table_row, 1);
-      r->rows[0] = read_row (doc);
+      r->rows[0] = parse_row (doc);
     }
   else if (status == 409 && json_array_size (conflicts) > 0)
     {
       r->code = TABLE_CONFLICT;
       r->nrows = (int)json_array_size (conflicts);
-      r->rows = read_conflicts (conflicts, r->nrows);
+      r->rows = parse_conflicts (conflicts, r->nrows);
     }
 }
 
@@ -110,7 +111,7 @@
   if (status > 0)
     {
       doc = json_loadb (body->str, body->len, 0, NULL);
-      read_reply (status, doc, &r);
+      parse_reply (status, doc, &r);
     }
   if (r.code == TABLE_LOST)
     met_add (MET_TABLE_LOST, 1);
@@ -120,11 +121,13 @@
   g_free (c);
 }
 
-/* A commit that libcurl sends twice, on a kept-alive connection that died,
-   meets its own rows as conflicts; their attempt or change id tells. */
+/* Sends a call.  libcurl sends a commit a second time if its kept-alive
+   connection was closed; the second one may conflict with the rows that the
+   first one wrote, which the caller recognises by their attempt or change id.
+   */
 static void
-start (struct table *t, const char *method, const char *path, const char *body,
-       table_done done, void *arg)
+start_request (struct table_client *t, const char *method, const char *path,
+               const char *body, table_done done, void *arg)
 {
   g_autofree char *url = g_strconcat (t->url, path, NULL);
   struct table_call *c = g_new0 (struct table_call, 1);
@@ -162,38 +165,38 @@
                            (json_int_t)writes[i].version, "put", put));
     }
   text = json_dumps (doc, JSON_COMPACT);
-  start (ctx, "POST", "/txn", text, done, arg);
+  start_request (ctx, "POST", "/txn", text, done, arg);
   free (text);
   json_decref (doc);
 }
 
 static void
-read_one (void *ctx, const char *key, table_done done, void *arg)
+read_row (void *ctx, const char *key, table_done done, void *arg)
 {
   g_autofree char *escaped = g_uri_escape_string (key, NULL, FALSE);
   g_autofree char *path = g_strconcat ("/rows/", escaped, NULL);
 
-  start (ctx, "GET", path, NULL, done, arg);
+  start_request (ctx, "GET", path, NULL, done, arg);
 }
 
 void
 tableclient_init (struct table_ops *ops, struct xfer_pool *pool,
                   const char *url, int64_t timeout_ms)
 {
-  struct table *t = g_new0 (struct table, 1);
+  struct table_client *t = g_new0 (struct table_client, 1);
 
   t->pool = pool;
   t->url = g_strdup (url);
   t->timeout_ms = timeout_ms;
   ops->commit = commit;
-  ops->read = read_one;
+  ops->read = read_row;
   ops->ctx = t;
 }
 
 void
 tableclient_clear (struct table_ops *ops)
 {
-  struct table *t = ops->ctx;
+  struct table_client *t = ops->ctx;
 
   if (t == NULL)
     return;
