--- a/api.c
+++ b/api.c
@@ -79,11 +79,11 @@
   .started = on_job_started,
   .ended = on_job_ended,
   .reply = on_reply,
-  .begin = on_stream_begin,
+  .stream_begin = on_stream_begin,
   .stream_write = on_stream_write,
-  .end = on_stream_end,
+  .stream_end = on_stream_end,
   .stream_pending = on_stream_pending,
-  .look = check_connection,
+  .check_connection = check_connection,
 };
 
 static struct job_desc
--- a/job.c
+++ b/job.c
@@ -391,7 +391,7 @@
 check_connection (struct job *j)
 {
   if (j->caller != NULL)
-    j->caller->look (j->caller_arg);
+    j->caller->check_connection (j->caller_arg);
 }
 
 /* Checks deadlines, stalls and disconnected callers for all jobs of a worker.
--- a/jobreply.c
+++ b/jobreply.c
@@ -23,7 +23,7 @@
 jobreply_begin_stream (struct job *j)
 {
   j->stream_begun = true;
-  j->caller->begin (j->caller_arg, "text/event-stream");
+  j->caller->stream_begin (j->caller_arg, "text/event-stream");
 }
 
 /* Ends the stream.  A broken one gets an error event and no last chunk, so
@@ -40,7 +40,7 @@
       event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
       j->caller->stream_write (j->caller_arg, event, strlen (event));
     }
-  j->caller->end (j->caller_arg, outcome == OUT_ANSWERED);
+  j->caller->stream_end (j->caller_arg, outcome == OUT_ANSWERED);
 }
 
 /* Returns true if the caller gets the endpoint's own reply. */
--- a/libserver.h
+++ b/libserver.h
@@ -327,13 +327,13 @@
   /* Sends a complete reply. */
   void (*reply) (void *arg, const struct reply *reply);
   /* Send a streamed reply; WHOLE is false if it was cut off. */
-  void (*begin) (void *arg, const char *content_type);
+  void (*stream_begin) (void *arg, const char *content_type);
   void (*stream_write) (void *arg, const char *data, size_t len);
-  void (*end) (void *arg, bool whole);
+  void (*stream_end) (void *arg, bool whole);
   /* Returns the bytes of the stream that the caller has not read yet. */
   size_t (*stream_pending) (void *arg);
   /* Closes the request if the caller disconnected. */
-  void (*look) (void *arg);
+  void (*check_connection) (void *arg);
 };
 
 /* Describes the request that a job is to run; used only while it starts. */
