--- a/regress/chaos.sh
+++ b/regress/chaos.sh
@@ -1,8 +1,9 @@
-# A run of four VMs in two domains with faults at seeded moments: VMs are
-# killed, frozen past their claims, stopped; the table is down or loses
-# replies; engines break streams; the store gives altered and half segments;
-# calls are dropped after running; settings change meanwhile. Then the history
-# of all VMs, stand-ins and callers is checked for every broken promise.
+# Four VMs in two domains under load, with random faults from a seed: VMs are
+# killed, suspended beyond the send window of their claims, or stopped; the
+# table is down or loses replies; engines break streams; the KV store returns
+# corrupt and truncated segments; endpoints drop calls after running them; and
+# settings change.  Then the history checker looks for violations in the logs
+# of all VMs, simulated back ends and callers.
 #   chaos.sh [SEED [SECONDS]]
 . ./lib.sh || exit 1
 . ./vms.sh
--- a/regress/check.c
+++ b/regress/check.c
@@ -1,10 +1,11 @@
 /*
- * History checker: reads the log lines of all VMs, stand-ins and callers of a
- * run, in any order, and looks for broken promises.
+ * History checker: reads the log lines of all VMs, simulated back ends and
+ * callers of a run, in any order, and checks the invariants of the system.
  *
  *   regress/check < LINES
  *
- * Prints a line for each broken promise and a count; exit code 1 if any.
+ * Prints a line for each violation and a count; exits with status 1 if there
+ * are any.
  */
 #include <glib.h>
 #include <stdbool.h>
@@ -12,26 +13,26 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LEAVE_LIMIT_US INT64_C (3000000) /* new work after leaving */
+#define LEAVE_GRACE_US INT64_C (3000000) /* tolerance after "leaving" */
 
-/* A line as pairs. */
+/* A log line of key=value pairs. */
 struct line
 {
-  char *text;
-  int64_t at_us; /* time of day */
+  char *text;    /* the line, with a leading space */
+  int64_t at_us; /* time of day in microseconds */
 };
 
 static GPtrArray *lines;
-static int broken;
+static int violations;
 
 static void
-fail (const char *promise, const char *detail)
+fail (const char *invariant, const char *detail)
 {
-  printf ("BROKEN %s: %s\n", promise, detail);
-  broken++;
+  printf ("BROKEN %s: %s\n", invariant, detail);
+  violations++;
 }
 
-/* Value of a field; "" if absent. */
+/* Returns the value of a field, "" if absent. */
 static char *
 field (const struct line *l, const char *name)
 {
@@ -47,7 +48,7 @@
 }
 
 static bool
-is (const struct line *l, const char *event)
+is_event (const struct line *l, const char *event)
 {
   g_autofree char *e = field (l, "event");
 
@@ -67,14 +68,14 @@
 }
 
 static struct line *
-nth (guint i)
+line_at (guint i)
 {
   return g_ptr_array_index (lines, i);
 }
 
-/* --- promises --- */
+/* --- invariants --- */
 
-/* A call with an idempotency key that may not repeat runs at most once. */
+/* A non-idempotent call with an idempotency key runs at most once. */
 static void
 check_at_most_once (void)
 {
@@ -84,16 +85,16 @@
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *call = field (nth (i), "call");
+      g_autofree char *call = field (line_at (i), "call");
 
-      if (!is (nth (i), "ran") || call[0] == '\0')
+      if (!is_event (line_at (i), "ran") || call[0] == '\0')
         continue;
       if (!g_hash_table_add (runs, g_strdup (call)))
         fail ("at-most-once", call);
     }
 }
 
-/* Of a request that ended as not-run no attempt reached an endpoint. */
+/* No attempt of a request that ended as not-run ran at an endpoint. */
 static void
 check_not_run (void)
 {
@@ -102,9 +103,9 @@
   guint i;
 
   for (i = 0; i < lines->len; i++)
-    if (is (nth (i), "ran"))
+    if (is_event (line_at (i), "ran"))
       {
-        g_autofree char *attempt = field (nth (i), "attempt");
+        g_autofree char *attempt = field (line_at (i), "attempt");
         char *dot = strchr (attempt, '.');
 
         if (dot != NULL)
@@ -113,10 +114,10 @@
       }
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *req = field (nth (i), "req");
-      g_autofree char *outcome = field (nth (i), "outcome");
+      g_autofree char *req = field (line_at (i), "req");
+      g_autofree char *outcome = field (line_at (i), "outcome");
 
-      if (is (nth (i), "finish") && strcmp (outcome, "not-run") == 0
+      if (is_event (line_at (i), "finish") && strcmp (outcome, "not-run") == 0
           && g_hash_table_contains (ran, req))
         fail ("not-run-is-true", req);
     }
@@ -133,16 +134,16 @@
   guint i;
 
   for (i = 0; i < lines->len; i++)
-    if (is (nth (i), "accept"))
-      g_hash_table_insert (workspace, field (nth (i), "req"),
-                           field (nth (i), "workspace"));
+    if (is_event (line_at (i), "accept"))
+      g_hash_table_insert (workspace, field (line_at (i), "req"),
+                           field (line_at (i), "workspace"));
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *scope = field (nth (i), "scope");
-      g_autofree char *attempt = field (nth (i), "attempt");
+      g_autofree char *scope = field (line_at (i), "scope");
+      g_autofree char *attempt = field (line_at (i), "attempt");
       const char *ws, *before;
 
-      if (!is (nth (i), "ran") || scope[0] == '\0')
+      if (!is_event (line_at (i), "ran") || scope[0] == '\0')
         continue;
       attempt[strcspn (attempt, ".")] = '\0';
       ws = g_hash_table_lookup (workspace, attempt);
@@ -164,12 +165,12 @@
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *scope = field (nth (i), "scope");
-      g_autofree char *v = field (nth (i), "version");
-      g_autofree char *hit = field (nth (i), "cached");
+      g_autofree char *scope = field (line_at (i), "scope");
+      g_autofree char *v = field (line_at (i), "version");
+      g_autofree char *hit = field (line_at (i), "cached");
       const char *before;
 
-      if (!is (nth (i), "ran") || scope[0] == '\0')
+      if (!is_event (line_at (i), "ran") || scope[0] == '\0')
         continue;
       before = g_hash_table_lookup (version, scope);
       if (before != NULL && strcmp (before, v) != 0 && strcmp (hit, "0") != 0)
@@ -179,23 +180,23 @@
     }
 }
 
-/* An engine used no segment that it found wrong. */
+/* An engine uses no segment that failed verification. */
 static void
-check_blocks (void)
+check_segments (void)
 {
   guint i;
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *good = field (nth (i), "verified");
-      g_autofree char *name = field (nth (i), "segment");
+      g_autofree char *good = field (line_at (i), "verified");
+      g_autofree char *name = field (line_at (i), "segment");
 
-      if (is (nth (i), "used") && strcmp (good, "1") != 0)
+      if (is_event (line_at (i), "used") && strcmp (good, "1") != 0)
         fail ("whole-blocks", name);
     }
 }
 
-/* Callers compare what they got with what they asked for. */
+/* Callers get the answer to their own request, which they compare. */
 static void
 check_answers (void)
 {
@@ -203,17 +204,18 @@
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *match = field (nth (i), "match");
-      g_autofree char *req = field (nth (i), "req");
+      g_autofree char *match = field (line_at (i), "match");
+      g_autofree char *req = field (line_at (i), "req");
 
-      if (is (nth (i), "got") && strcmp (match, "1") != 0)
+      if (is_event (line_at (i), "got") && strcmp (match, "1") != 0)
         fail ("whole-answer", req);
     }
 }
 
-/* Take out of OPEN what belongs to VM; report it if it was a planned stop. */
+/* Removes the requests of VM from OPEN; each is a violation if the VM stopped
+   as planned. */
 static void
-close_life (GHashTable *open, const char *vm, bool planned)
+end_incarnation (GHashTable *open, const char *vm, bool planned)
 {
   GHashTableIter it;
   gpointer req, who;
@@ -229,7 +231,7 @@
     }
 }
 
-/* A life of a VM that exits by itself ended every request it accepted; one
+/* A VM that exits by itself has ended every request that it accepted.  One
    that was killed could not. */
 static void
 check_stops (void)
@@ -240,19 +242,21 @@
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *req = field (nth (i), "req");
-      g_autofree char *vm = field (nth (i), "vm");
+      g_autofree char *req = field (line_at (i), "req");
+      g_autofree char *vm = field (line_at (i), "vm");
 
-      if (is (nth (i), "accept"))
+      if (is_event (line_at (i), "accept"))
         g_hash_table_insert (open, g_strdup (req), g_strdup (vm));
-      else if (is (nth (i), "finish"))
+      else if (is_event (line_at (i), "finish"))
         g_hash_table_remove (open, req);
-      else if (is (nth (i), "listen") || is (nth (i), "exit"))
-        close_life (open, vm, is (nth (i), "exit"));
+      else if (is_event (line_at (i), "listen")
+               || is_event (line_at (i), "exit"))
+        end_incarnation (open, vm, is_event (line_at (i), "exit"));
     }
 }
 
-/* No endpoint gets new work some seconds after it said that it leaves. */
+/* An endpoint gets no new requests later than LEAVE_GRACE_US after it reported
+   that it is leaving. */
 static void
 check_leaving (void)
 {
@@ -261,21 +265,21 @@
   guint i;
 
   for (i = 0; i < lines->len; i++)
-    if (is (nth (i), "leaving"))
-      g_hash_table_insert (since, field (nth (i), "endpoint"),
-                           g_memdup2 (&nth (i)->at_us, sizeof (int64_t)));
+    if (is_event (line_at (i), "leaving"))
+      g_hash_table_insert (since, field (line_at (i), "endpoint"),
+                           g_memdup2 (&line_at (i)->at_us, sizeof (int64_t)));
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *e = field (nth (i), "endpoint");
+      g_autofree char *e = field (line_at (i), "endpoint");
       const int64_t *at = g_hash_table_lookup (since, e);
 
-      if (is (nth (i), "ran") && at != NULL
-          && nth (i)->at_us > *at + LEAVE_LIMIT_US)
+      if (is_event (line_at (i), "ran") && at != NULL
+          && line_at (i)->at_us > *at + LEAVE_GRACE_US)
         fail ("leaving", e);
     }
 }
 
-/* Within a life of a VM its revision never goes back. */
+/* The settings revision of a VM never decreases during one incarnation. */
 static void
 check_revisions (void)
 {
@@ -285,14 +289,14 @@
 
   for (i = 0; i < lines->len; i++)
     {
-      g_autofree char *vm = field (nth (i), "vm");
-      g_autofree char *text = field (nth (i), "revision");
+      g_autofree char *vm = field (line_at (i), "vm");
+      g_autofree char *text = field (line_at (i), "revision");
       int now = (int)g_ascii_strtoll (text, NULL, 10);
       int before;
 
-      if (is (nth (i), "listen"))
+      if (is_event (line_at (i), "listen"))
         g_hash_table_remove (highest, vm);
-      if (!is (nth (i), "settings"))
+      if (!is_event (line_at (i), "settings"))
         continue;
       before = GPOINTER_TO_INT (g_hash_table_lookup (highest, vm));
       if (now < before)
@@ -313,9 +317,9 @@
 }
 
 static void (*const checks[]) (void) = {
-  check_at_most_once, check_not_run, check_isolation,
-  check_versions,     check_blocks,  check_answers,
-  check_stops,        check_leaving, check_revisions,
+  check_at_most_once, check_not_run,  check_isolation,
+  check_versions,     check_segments, check_answers,
+  check_stops,        check_leaving,  check_revisions,
 };
 
 int
@@ -338,6 +342,6 @@
   g_ptr_array_sort (lines, by_time);
   for (i = 0; i < G_N_ELEMENTS (checks); i++)
     checks[i]();
-  printf ("%d lines, %d broken\n", (int)lines->len, broken);
-  return broken > 0;
+  printf ("%d lines, %d broken\n", (int)lines->len, violations);
+  return violations > 0;
 }
--- a/regress/ownerdies.sh
+++ b/regress/ownerdies.sh
@@ -1,15 +1,15 @@
-# The VM that owns a claim dies.  Its caller's connection breaks and the caller
-# retries through another VM, which cannot know how far the first one came:
-# it answers "unknown" and never runs the call again, unless the answer was
-# recorded before the death.
+# The VM that owns a claim is killed.  The caller's connection breaks and the
+# caller retries through another VM, which cannot know whether the call ran: it
+# must reply "unknown" and not run the call again, unless the answer was
+# recorded before the VM was killed.
 . ./lib.sh || exit 1
 plain_base 'deadline_ms = 1500' 'send_within_ms = 1000'
 start_vm b
 
-# more_arrived N: a claim reached the table, after N before it.
+# more_arrived N: true once more than N claims have reached the table.
 more_arrived() { [ "$(stat table arrived)" -gt "$1" ]; }
 
-# Killed before the send: the claim is written while the owner is dying.
+# Killed before the send: the table writes the claim after its owner is gone.
 start_vm a
 control table '{"slow_ms":400}'
 before=$(stat table arrived)
@@ -38,8 +38,8 @@
 call b k3 three >/dev/null
 echo "killed after the answer: $(outcome) $(code), runs $(stat p1 three)"
 
-# Paused between claim and send for longer than a claim may be sent; when it
-# wakes it must not send, and its refusal must be true.
+# Suspended between claim and send for longer than send_within_ms: once resumed,
+# the VM must not send the call, and must refuse it as not-run.
 start_vm a
 control table '{"slow_ms":300}'
 before=$(stat table arrived)
