--- a/attempt.c
+++ b/attempt.c
@@ -14,14 +14,14 @@
   struct prompt_extra extra = { .urgent = j->urgent };
 
   extra.cache_salt = j->cache_salt;
-  extra.import = kept_import_order (j);
+  extra.kv_import = kept_import_order (j);
   extra.max_tokens = j->max_tokens;
   if (j->begun)
     {
       extra.resume_text = j->strm.text->str;
       extra.resume_offset = j->strm.tokens;
     }
-  j->send_body = prompt_write (&j->prompt, &extra);
+  j->send_body = prompt_to_json (&j->prompt, &extra);
   g_strv_builder_add (headers, "Content-Type: application/json");
 }
 
@@ -128,7 +128,7 @@
 note_first (struct job *j)
 {
   if (j->cached_tokens < 0)
-    j->cached_tokens = j->strm.cached;
+    j->cached_tokens = j->strm.cached_tokens;
   kept_import_end (j, j->cached_tokens);
   if (j->first_us != 0)
     return;
@@ -144,9 +144,9 @@
     case STRM_MORE:
     case STRM_DONE:
       return NULL;
-    case STRM_VERSION:
+    case STRM_WRONG_VERSION:
       return "wrong_version";
-    case STRM_BAD:
+    case STRM_INVALID:
       return "bad_stream";
     case STRM_STALE:
       return "stale_stream";
@@ -155,15 +155,15 @@
 }
 
 /* Pass whole events on; the first one starts the caller's reply. */
-static enum xfer_take
+static enum xfer_body_result
 take_stream (struct job *j, const char *data, size_t len)
 {
   g_autoptr (GString) events = g_string_new (NULL);
   int64_t before = j->strm.tokens;
   enum strm_code code;
 
-  if (j->strm.done)
-    return XFER_TAKEN;
+  if (j->strm.ended)
+    return XFER_CONTINUE;
   /* A reader that is slower than the engine must not fill the memory. */
   if (j->caller->pending (j->caller_arg) > buffer_bytes (j))
     {
@@ -180,10 +180,10 @@
       met_add (MET_TOKENS, j->strm.tokens - before);
     }
   j->stopped = stream_fault (code);
-  return j->stopped == NULL ? XFER_TAKEN : XFER_STOP;
+  return j->stopped == NULL ? XFER_CONTINUE : XFER_STOP;
 }
 
-static enum xfer_take
+static enum xfer_body_result
 take_whole (struct job *j, const char *data, size_t len)
 {
   size_t max
@@ -195,10 +195,10 @@
       return XFER_STOP;
     }
   g_string_append_len (j->answer, data, (gssize)len);
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
-static enum xfer_take
+static enum xfer_body_result
 on_body (void *arg, int status, const char *data, size_t len)
 {
   struct job *j = arg;
@@ -218,12 +218,12 @@
 static bool
 version_fits (struct job *j)
 {
-  char version[WIRE_VERSION_MAX];
+  char version[WIRE_VERSION_SIZE];
 
   if (!j->model || j->streaming || j->status != 200)
     return true;
-  if (!answer_version (j->answer->str, j->answer->len, version, sizeof version,
-                       &j->cached_tokens))
+  if (!completion_version (j->answer->str, j->answer->len, version,
+                           sizeof version, &j->cached_tokens))
     return false;
   return strcmp (version, j->sc->version) == 0;
 }
@@ -235,9 +235,9 @@
     return SEND_NONE;
   if (end->status == 0)
     return SEND_PARTIAL;
-  if (end->whole && is_refusal (j, end->status))
+  if (end->complete && is_refusal (j, end->status))
     return SEND_REFUSED;
-  if (!end->whole || (j->streaming && !j->strm.done) || !version_fits (j))
+  if (!end->complete || (j->streaming && !j->strm.ended) || !version_fits (j))
     return SEND_REPLIED;
   return SEND_WHOLE;
 }
@@ -394,7 +394,7 @@
     j->answer = g_string_new (NULL);
   g_string_truncate (j->answer, 0);
   if (j->model)
-    strm_attempt (&j->strm, j->attempts);
+    strm_start_attempt (&j->strm, j->attempts);
   build (j);
   j->sent_us = loop_now_us ();
   j->byte_us = j->sent_us;
--- a/bench/load.c
+++ b/bench/load.c
@@ -102,7 +102,7 @@
   g_strlcpy (s->outcome, line + n, MIN (sizeof s->outcome, len - n - 1));
 }
 
-static enum xfer_take
+static enum xfer_body_result
 on_body (void *arg, int status, const char *data, size_t len)
 {
   struct shot *s = arg;
@@ -122,7 +122,7 @@
     }
   if (g_strstr_len (data, (gssize)len, "[DONE]") != NULL)
     s->done = true;
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
 /* The tokens of a stream, joined. */
@@ -186,7 +186,7 @@
 static void
 count_end (struct load *l, const struct shot *s, const struct xfer_end *end)
 {
-  bool good = end->whole && end->status == 200
+  bool good = end->complete && end->status == 200
               && (s->done || l->o.whole || l->o.call != NULL);
 
   if (good)
@@ -214,7 +214,7 @@
 static bool
 again (struct load *l, struct shot *s, const struct xfer_end *end)
 {
-  bool good = end->whole && end->status == 200;
+  bool good = end->complete && end->status == 200;
   bool finished = s->done || l->o.whole || l->o.call != NULL;
 
   /* A stream that ends normally without its end mark looks finished to
--- a/bench/mutants.sh
+++ b/bench/mutants.sh
@@ -18,11 +18,11 @@
 	echo "$1: seed $seed, caught: $(echo "$out" | sed -n 's/.*BROKEN \([a-z-]*\):.*/\1/p' | sort | uniq -c | sed 's/^ *//' | paste -sd, | sed 's/^$/nothing/')"
 }
 
-mutant "own connection for calls that may not repeat" xfer.c 's/  if (o->fresh)/  if (false)/'
+mutant "own connection for calls that may not repeat" xfer.c 's/  if (o->new_connection)/  if (false)/'
 mutant "claims" jobclaim.c 's/  return !j->model \&\& j->key != NULL/  return false \&\& j->key != NULL/'
 mutant "no second try after the send" out.c 's/  if (!f->repeatable)/  if (false)/'
 mutant "workspace in the scope of prefixes" pfx.c '/  add_part (&h, workspace);/d'
-mutant "a stream without its end is not whole" attempt.c 's/  if (!end->whole || (j->streaming \&\& !j->strm.done) || !version_fits (j))/  if (!version_fits (j))/'
+mutant "a stream without its end is not whole" attempt.c 's/  if (!end->complete || (j->streaming \&\& !j->strm.ended) || !version_fits (j))/  if (!version_fits (j))/'
 mutant "resume at the token offset" attempt.c 's/extra.resume_offset = j->strm.tokens;/extra.resume_offset = 0;/'
 mutant "a stop waits for running requests" srv.c 's/^  wait_for_jobs (s, limit_s);//'
 mutant "not-run only before the first byte" out.c 's/^    case SEND_PARTIAL:$/    case SEND_PARTIAL: return finish (OUT_NOT_RUN, "x");/'
--- a/epc.c
+++ b/epc.c
@@ -27,7 +27,7 @@
   o.headers = opts->headers;
   o.body = opts->body;
   o.body_len = opts->body_len;
-  o.fresh = !opts->may_repeat;
+  o.new_connection = !opts->may_repeat;
   o.connect_timeout_ms = CONNECT_TIMEOUT_MS;
   o.events = events;
   o.arg = arg;
@@ -126,7 +126,7 @@
   c->done = done;
   c->arg = arg;
   o.timeout_ms = LOAD_TIMEOUT_MS;
-  o.reply_max = REPORT_MAX_BYTES;
+  o.reply_max_bytes = REPORT_MAX_BYTES;
   o.done = on_load;
   o.arg = c;
   fetch_start (ctx, &o);
--- a/export.c
+++ b/export.c
@@ -142,7 +142,7 @@
   g_free (o);
 }
 
-static enum xfer_take
+static enum xfer_body_result
 take_reply (void *arg, int status, const char *data, size_t len)
 {
   struct order *o = arg;
@@ -151,7 +151,7 @@
   if (o->reply->len + len > ORDER_MAX_BYTES)
     return XFER_STOP;
   g_string_append_len (o->reply, data, (gssize)len);
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
 /* Segments that the engine says were sealed, from the first one on. */
@@ -162,7 +162,7 @@
   json_t *doc = json_loadb (o->reply->str, o->reply->len, 0, NULL);
   int n = 0;
 
-  if (end->whole && end->status == 200)
+  if (end->complete && end->status == 200)
     {
       n = (int)json_integer_value (json_object_get (doc, "sealed"));
       *moving_us = json_integer_value (json_object_get (doc, "moving_us"));
--- a/fetch.c
+++ b/fetch.c
@@ -28,7 +28,7 @@
     f->header_line (f->arg, line, len);
 }
 
-static enum xfer_take
+static enum xfer_body_result
 take_body (void *arg, int status, const char *data, size_t len)
 {
   struct fetch *f = arg;
@@ -37,19 +37,19 @@
   if (f->reply->len + len > f->reply_max)
     return XFER_STOP;
   g_string_append_len (f->reply, data, (gssize)len);
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
 static int
 status_of (const struct xfer_end *end)
 {
-  if (end->whole)
+  if (end->complete)
     return end->status;
   if (end->stopped)
     return FETCH_TOO_LARGE;
   if (end->stalled)
     return FETCH_STALLED;
-  return end->status != 0 ? FETCH_BROKEN : FETCH_NONE;
+  return end->status != 0 ? FETCH_INCOMPLETE : FETCH_NO_REPLY;
 }
 
 static void
@@ -69,7 +69,7 @@
   if (f->step (f->arg, f->status, f->reply, f->came_us))
     return true;
   release (f);
-  xfer_hold (p, -1);
+  xfer_adjust_count (p, -1);
   return false;
 }
 
@@ -83,7 +83,7 @@
   f->came_us = loop_now_us ();
   if (f->step != NULL && f->step (f->arg, f->status, f->reply, f->came_us))
     {
-      xfer_hold (f->pool, 1);
+      xfer_adjust_count (f->pool, 1);
       f->work.step = go_on;
       f->work.arg = f;
       loop_add_work (xfer_loop (f->pool), &f->work);
@@ -106,11 +106,11 @@
   struct xfer_opts o = { .method = opts->method, .url = opts->url };
 
   f->reply = g_string_new (NULL);
-  f->reply_max = opts->reply_max;
+  f->reply_max = opts->reply_max_bytes;
   f->pool = p;
   f->done = opts->done;
   f->step = opts->step;
-  f->header_line = opts->header_line;
+  f->header_line = opts->on_header;
   f->arg = opts->arg;
   if (opts->body != NULL)
     {
@@ -128,8 +128,8 @@
   o.body_len = opts->body_len;
   o.connect_timeout_ms = opts->timeout_ms;
   o.timeout_ms = opts->timeout_ms;
-  o.first_ms = opts->first_ms;
-  o.stall_ms = opts->stall_ms;
+  o.first_byte_timeout_ms = opts->first_byte_timeout_ms;
+  o.stall_timeout_ms = opts->stall_timeout_ms;
   o.events = &events;
   o.arg = f;
   xfer_start (p, &o);
--- a/hin.c
+++ b/hin.c
@@ -515,7 +515,7 @@
   info = MHD_get_daemon_info (d->daemon, MHD_DAEMON_INFO_EPOLL_FD);
   d->fd = loop_add_fd (w->loop, info->epoll_fd, on_daemon_ready, d);
   loop_watch (w->loop, d->fd, true, false);
-  d->hook.turn = run_daemon;
+  d->hook.run = run_daemon;
   d->hook.timeout_us = daemon_timeout_us;
   d->hook.arg = d;
   loop_add_hook (w->loop, &d->hook);
--- a/job.c
+++ b/job.c
@@ -168,7 +168,7 @@
   struct job *j;
   int service;
 
-  if (!prompt_read (d->body, d->body_len, chat, &p, &err))
+  if (!prompt_parse (d->body, d->body_len, chat, &p, &err))
     {
       log_event (LOG_LEVEL_INFO, "refuse",
                  "req=%s outcome=not-run reason=%s detail=\"%s\"", d->id,
--- a/loop.c
+++ b/loop.c
@@ -331,7 +331,7 @@
       run_mail (l);
       run_work (l);
       APR_RING_FOREACH (h, &l->hooks, loop_hook, link)
-      h->turn (h->arg);
+      h->run (h->arg);
     }
   run_mail (l);
   while (!APR_RING_EMPTY (&l->works, loop_work, link))
--- a/loop.h
+++ b/loop.h
@@ -40,7 +40,7 @@
 struct loop_hook
 {
   APR_RING_ENTRY (loop_hook) link;   /* in the loop's list */
-  void (*turn) (void *arg);          /* called each turn */
+  void (*run) (void *arg);           /* called each turn */
   int64_t (*timeout_us) (void *arg); /* longest wait, -1 for none */
   void *arg;                         /* passed to both */
 };
--- a/member.c
+++ b/member.c
@@ -432,7 +432,7 @@
     return;
   m->listing = true;
   o.timeout_ms = p->timeout_ms;
-  o.reply_max = LIST_MAX_BYTES;
+  o.reply_max_bytes = LIST_MAX_BYTES;
   o.done = on_list;
   o.arg = m;
   fetch_start (m->server->workers[0].pool, &o);
--- a/objc.c
+++ b/objc.c
@@ -45,7 +45,7 @@
   o.body = data;
   o.body_len = len;
   o.timeout_ms = s->timeout_ms;
-  o.reply_max = OBJECT_MAX_BYTES;
+  o.reply_max_bytes = OBJECT_MAX_BYTES;
   o.done = on_reply;
   o.arg = c;
   fetch_start (s->pool, &o);
--- a/prompt.c
+++ b/prompt.c
@@ -102,8 +102,8 @@
 }
 
 bool
-prompt_read (const char *body, size_t len, bool chat, struct prompt *prompt,
-             GError **err)
+prompt_parse (const char *body, size_t len, bool chat, struct prompt *prompt,
+              GError **err)
 {
   struct prompt p = { .chat = chat };
   json_error_t why;
@@ -140,7 +140,7 @@
 }
 
 char *
-prompt_write (const struct prompt *prompt, const struct prompt_extra *extra)
+prompt_to_json (const struct prompt *prompt, const struct prompt_extra *extra)
 {
   json_t *doc = json_copy (prompt->doc);
   json_t *resume;
@@ -160,8 +160,8 @@
                        "text", extra->resume_text);
       json_object_set_new (doc, "resume", resume);
     }
-  if (extra->import != NULL)
-    json_object_set_new (doc, "kv_import", extra->import);
+  if (extra->kv_import != NULL)
+    json_object_set_new (doc, "kv_import", extra->kv_import);
   dumped = json_dumps (doc, JSON_COMPACT);
   text = g_strdup (dumped);
   free (dumped);
@@ -170,8 +170,8 @@
 }
 
 bool
-answer_version (const char *body, size_t len, char *version, size_t size,
-                int64_t *cached)
+completion_version (const char *body, size_t len, char *version, size_t size,
+                    int64_t *cached)
 {
   json_t *doc = json_loadb (body, len, 0, NULL);
   const char *s
@@ -179,13 +179,13 @@
 
   if (s != NULL)
     g_strlcpy (version, s, size);
-  *cached = answer_cached (doc);
+  *cached = completion_cached_tokens (doc);
   json_decref (doc);
   return s != NULL;
 }
 
 int64_t
-answer_cached (const json_t *doc)
+completion_cached_tokens (const json_t *doc)
 {
   const json_t *usage = json_object_get (doc, "usage");
   const json_t *details = json_object_get (usage, "prompt_tokens_details");
--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -20,14 +20,14 @@
   GError *err = NULL;
   char *text;
 
-  if (!prompt_read (data, size, chat, &p, &err))
+  if (!prompt_parse (data, size, chat, &p, &err))
     {
       g_error_free (err);
       return;
     }
-  text = prompt_write (&p, &extra);
+  text = prompt_to_json (&p, &extra);
   /* What is sent on must be readable again, and the same prompt. */
-  if (!prompt_read (text, strlen (text), chat, &again, NULL))
+  if (!prompt_parse (text, strlen (text), chat, &again, NULL))
     g_error ("written prompt cannot be read");
   if (!g_string_equal (p.text, again.text))
     g_error ("written prompt is another");
@@ -44,7 +44,7 @@
   size_t half = size / 2;
 
   strm_init (&s, "v1", 64);
-  strm_attempt (&s, 1);
+  strm_start_attempt (&s, 1);
   if (strm_feed (&s, 1, data, half, out) == STRM_MORE)
     strm_feed (&s, 1, data + half, size - half, out);
   if (out->len > size)
@@ -498,7 +498,7 @@
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  char version[WIRE_VERSION_MAX];
+  char version[WIRE_VERSION_SIZE];
   int64_t cached;
   const char *text = (const char *)data + 1;
 
@@ -540,7 +540,7 @@
       fuzz_facts (text, size - 1);
       break;
     default:
-      answer_version (text, size - 1, version, sizeof version, &cached);
+      completion_version (text, size - 1, version, sizeof version, &cached);
     }
   return 0;
 }
--- a/regress/test-steps.c
+++ b/regress/test-steps.c
@@ -347,7 +347,7 @@
   g_assert_cmpint (socketpair (AF_UNIX, SOCK_STREAM, 0, s->fd), ==, 0);
   loop_watch (s->loop, loop_add_fd (s->loop, s->fd[0], on_byte, s), true,
               false);
-  s->hook.turn = on_turn;
+  s->hook.run = on_turn;
   s->hook.timeout_us = no_timeout;
   s->hook.arg = s;
   loop_add_hook (s->loop, &s->hook);
@@ -610,7 +610,7 @@
   struct fetch_opts o = { .method = "GET", .url = url };
 
   o.timeout_ms = 20000;
-  o.reply_max = 100;
+  o.reply_max_bytes = 100;
   o.step = stop_at_once;
   o.arg = r;
   fetch_start (r->pool, &o);
--- a/regress/test-wire.c
+++ b/regress/test-wire.c
@@ -38,7 +38,7 @@
   for (round = 0; round < 300; round++)
     {
       strm_init (&s, "v1", 10000);
-      strm_attempt (&s, 1);
+      strm_start_attempt (&s, 1);
       g_string_truncate (out, 0);
       for (at = 0; at < whole->len; at += n)
         {
@@ -71,10 +71,10 @@
   struct strm s;
 
   strm_init (&s, "v1", 10000);
-  strm_attempt (&s, 1);
+  strm_start_attempt (&s, 1);
   g_assert_cmpint (strm_feed (&s, 1, e0, strlen (e0), out), ==, STRM_MORE);
   g_assert_cmpint (strm_feed (&s, 1, e1, 10, out), ==, STRM_MORE);
-  strm_attempt (&s, 2);
+  strm_start_attempt (&s, 2);
   g_assert_cmpint (strm_feed (&s, 1, e1 + 10, strlen (e1) - 10, out), ==,
                    STRM_STALE);
   g_assert_cmpint (strm_feed (&s, 2, e1, strlen (e1), out), ==, STRM_MORE);
@@ -102,15 +102,15 @@
   for (i = 0; i < G_N_ELEMENTS (bad); i++)
     {
       strm_init (&s, "v1", 100);
-      strm_attempt (&s, 1);
+      strm_start_attempt (&s, 1);
       g_assert_cmpint (strm_feed (&s, 1, bad[i], strlen (bad[i]), out), ==,
-                       STRM_BAD);
+                       STRM_INVALID);
       strm_clear (&s);
     }
   strm_init (&s, "v1", 100);
-  strm_attempt (&s, 1);
+  strm_start_attempt (&s, 1);
   g_assert_cmpint (strm_feed (&s, 1, other, strlen (other), out), ==,
-                   STRM_VERSION);
+                   STRM_WRONG_VERSION);
   strm_clear (&s);
   g_assert_cmpint (out->len, ==, 0);
   g_string_free (out, TRUE);
@@ -141,7 +141,7 @@
   for (i = 0; i < G_N_ELEMENTS (bad); i++)
     {
       err = NULL;
-      g_assert_false (prompt_read (bad[i], strlen (bad[i]), false, &p, &err));
+      g_assert_false (prompt_parse (bad[i], strlen (bad[i]), false, &p, &err));
       g_assert_nonnull (err);
       g_error_free (err);
     }
@@ -158,8 +158,8 @@
   g_autofree char *text = NULL;
   struct prompt p;
 
-  g_assert_true (prompt_read (body, strlen (body), false, &p, NULL));
-  text = prompt_write (&p, &extra);
+  g_assert_true (prompt_parse (body, strlen (body), false, &p, NULL));
+  text = prompt_to_json (&p, &extra);
   g_assert_null (strstr (text, "other"));
   g_assert_null (strstr (text, "resume"));
   g_assert_nonnull (strstr (text, "\"cache_salt\":\"mine\""));
--- a/regress/test-xfer.c
+++ b/regress/test-xfer.c
@@ -98,9 +98,9 @@
   t = g_thread_new ("far", play_far, f);
   url = g_strdup_printf ("http://127.0.0.1:%d/", ntohs (sa.sin_port));
   o.url = url;
-  o.fresh = true;
-  o.first_ms = first_ms;
-  o.stall_ms = stall_ms;
+  o.new_connection = true;
+  o.first_byte_timeout_ms = first_ms;
+  o.stall_timeout_ms = stall_ms;
   xfer_start (p, &o);
   loop_run (f->loop);
   xfer_pool_free (p);
@@ -122,7 +122,7 @@
 
   g_assert_cmpint (transfer (&f, 10000, LIMIT_MS), <, 5000);
   g_assert_true (f.end.stalled);
-  g_assert_false (f.end.whole);
+  g_assert_false (f.end.complete);
   g_assert_cmpint (f.end.status, ==, 200);
 }
 
@@ -135,7 +135,7 @@
 
   g_assert_cmpint (transfer (&f, LIMIT_MS, 10000), <, 5000);
   g_assert_false (f.end.stalled);
-  g_assert_false (f.end.whole);
+  g_assert_false (f.end.complete);
   g_assert_cmpint (f.end.status, ==, 0);
 }
 
@@ -148,7 +148,7 @@
 
   g_assert_cmpint (transfer (&f, LIMIT_MS, LIMIT_MS), >,
                    INT64_C (2) * LIMIT_MS);
-  g_assert_true (f.end.whole);
+  g_assert_true (f.end.complete);
   g_assert_false (f.end.stalled);
 }
 
@@ -199,7 +199,7 @@
   loop_arm (f.loop, &b.begin, loop_now_us () + LATE_US / 2);
   g_assert_cmpint (transfer (&f, 2 * LATE_US / 1000, LIMIT_MS), >=,
                    BUSY_US / 1000);
-  g_assert_true (f.end.whole);
+  g_assert_true (f.end.complete);
   close (b.fds[0]);
   close (b.fds[1]);
 }
--- a/storec.c
+++ b/storec.c
@@ -127,10 +127,10 @@
 
   c->done = done;
   c->arg = arg;
-  o.first_ms = FIRST_MS;
-  o.stall_ms = STALL_MS;
+  o.first_byte_timeout_ms = FIRST_MS;
+  o.stall_timeout_ms = STALL_MS;
   o.timeout_ms = FIRST_MS + WHOLE_MS;
-  o.reply_max = LISTING_MAX_BYTES;
+  o.reply_max_bytes = LISTING_MAX_BYTES;
   o.done = on_list;
   o.arg = c;
   fetch_start (ctx, &o);
@@ -147,7 +147,7 @@
   segment_name (digest, write_id, name);
   url = g_strdup_printf ("http://%s/segments/%s", address, name);
   o.url = url;
-  o.reply_max = LISTING_MAX_BYTES;
+  o.reply_max_bytes = LISTING_MAX_BYTES;
   fetch_start (ctx, &o);
 }
 
--- a/strm.c
+++ b/strm.c
@@ -14,7 +14,7 @@
   s->partial = g_string_new (NULL);
   s->text = g_string_new (NULL);
   s->version = g_strdup (version);
-  s->cached = -1;
+  s->cached_tokens = -1;
 }
 
 void
@@ -33,11 +33,11 @@
  * and are dropped, else the caller would read two answers woven together.
  */
 void
-strm_attempt (struct strm *s, int attempt)
+strm_start_attempt (struct strm *s, int attempt)
 {
   s->attempt = attempt;
-  s->checked = false;
-  s->cached = -1;
+  s->is_version_checked = false;
+  s->cached_tokens = -1;
   g_string_truncate (s->partial, 0);
 }
 
@@ -75,7 +75,7 @@
   const char *v
       = json_string_value (json_object_get (event, "system_fingerprint"));
 
-  s->checked = true;
+  s->is_version_checked = true;
   return s->version == NULL || (v != NULL && strcmp (v, s->version) == 0);
 }
 
@@ -85,11 +85,11 @@
   const char *text;
 
   if (!json_is_object (event) || json_object_get (event, "error") != NULL)
-    return STRM_BAD;
-  if (!s->checked && !version_matches (s, event))
-    return STRM_VERSION;
-  if (s->cached < 0)
-    s->cached = answer_cached (event);
+    return STRM_INVALID;
+  if (!s->is_version_checked && !version_matches (s, event))
+    return STRM_WRONG_VERSION;
+  if (s->cached_tokens < 0)
+    s->cached_tokens = completion_cached_tokens (event);
   text = event_text (event);
   if (text != NULL && text[0] != '\0')
     {
@@ -110,12 +110,12 @@
   if (len > 0 && data[0] == ':')
     return STRM_MORE; /* a comment, as engines send to keep alive */
   if (len < prefix || memcmp (data, EVENT_PREFIX, prefix) != 0)
-    return STRM_BAD;
+    return STRM_INVALID;
   data += prefix;
   len -= prefix;
   if (len == strlen (END_MARK) && memcmp (data, END_MARK, len) == 0)
     {
-      s->done = true;
+      s->ended = true;
       return STRM_DONE;
     }
   event = json_loadb (data, len, 0, NULL);
@@ -132,7 +132,7 @@
   const char *start, *end;
   size_t used;
 
-  if (attempt != s->attempt || s->done)
+  if (attempt != s->attempt || s->ended)
     return STRM_STALE;
   g_string_append_len (s->partial, data, (gssize)len);
   start = s->partial->str;
@@ -146,7 +146,7 @@
     }
   used = (size_t)(start - s->partial->str);
   g_string_erase (s->partial, 0, (gssize)used);
-  if (s->partial->len > WIRE_EVENT_MAX)
-    return STRM_BAD;
+  if (s->partial->len > WIRE_EVENT_MAX_BYTES)
+    return STRM_INVALID;
   return code;
 }
--- a/tabc.c
+++ b/tabc.c
@@ -136,7 +136,7 @@
   o.body = body;
   o.body_len = body != NULL ? strlen (body) : 0;
   o.timeout_ms = t->timeout_ms;
-  o.reply_max = REPLY_MAX_BYTES;
+  o.reply_max_bytes = REPLY_MAX_BYTES;
   o.done = on_reply;
   o.arg = c;
   met_add (MET_TABLE_CALLS, 1);
--- a/xfer.c
+++ b/xfer.c
@@ -241,7 +241,7 @@
     return len;
   switch (x->events.on_body (x->arg, status_of (x), data, len))
     {
-    case XFER_TAKEN:
+    case XFER_CONTINUE:
       break;
     case XFER_PAUSE:
       return CURL_WRITEFUNC_PAUSE;
@@ -282,13 +282,13 @@
   end.status = status_of (x);
   end.stopped = x->stopped;
   end.stalled = x->stalled;
-  end.refused = is_refused (x, code);
+  end.connection_refused = is_refused (x, code);
   /*
    * A reply that only the connection's end delimits looks whole when its
    * sender died half way, so it does not count as whole.
    */
-  end.clean = code == CURLE_OK;
-  end.whole = end.clean && x->framed;
+  end.no_error = code == CURLE_OK;
+  end.complete = end.no_error && x->framed;
   end.error = code == CURLE_OK   ? ""
               : x->error[0] != 0 ? x->error
                                  : curl_easy_strerror (code);
@@ -430,7 +430,7 @@
    * sends the request again by itself: the call runs twice and nobody is
    * told.  A connection of its own has no such second try.
    */
-  if (o->fresh)
+  if (o->new_connection)
     {
       curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt (e, CURLOPT_FORBID_REUSE, 1L);
@@ -465,7 +465,7 @@
 }
 
 void
-xfer_hold (struct xfer_pool *p, int n)
+xfer_adjust_count (struct xfer_pool *p, int n)
 {
   __atomic_fetch_add (&p->count, n, __ATOMIC_RELAXED);
 }
@@ -508,7 +508,7 @@
 {
   int peers;
 
-  if (!o->fresh)
+  if (!o->new_connection)
     note_peer (p, o->url, now_us);
   if (now_us - p->forgot_us > FORGET_US)
     {
@@ -535,8 +535,8 @@
   set_request (x, opts);
   set_transport (x, opts);
   set_callbacks (x);
-  x->wait.first_us = opts->first_ms * 1000;
-  x->wait.more_us = opts->stall_ms * 1000;
+  x->wait.first_us = opts->first_byte_timeout_ms * 1000;
+  x->wait.more_us = opts->stall_timeout_ms * 1000;
   x->wait.since_us = loop_now_us ();
   x->quiet.fire = on_quiet;
   x->quiet.arg = x;
