--- a/xfer.c
+++ b/xfer.c
@@ -13,74 +13,76 @@
 #include "decide.h"
 #include "stall.h"
 
-#define SCHEME "http://"    /* of all URLs */
+#define SCHEME "http://"    /* the only scheme that is used */
 #define RECEIVE_BYTES 4096L /* libcurl's receive buffer for each transfer */
-#define IDLE_SPARE 16       /* kept besides one for each peer that is called */
-/* Part of the process's descriptors that may be kept idle: callers and
-   attempts need the rest. */
-#define IDLE_PART 4
-/* Idle connections are used again for this long; other ends close theirs
-   after some seconds, and one that crosses our request costs a repeat. */
-#define IDLE_MAX_S 4L
-/* Between looks for peers that are no longer called. */
-#define FORGET_US (IDLE_MAX_S * CQ_US_PER_S)
-#define SILENCE_PROBE_S 1   /* seconds before the first probe, and between */
-#define SILENCE_PROBES 2    /* unanswered ones that end a connection */
-#define SILENCE_MAX_MS 2500 /* sent bytes that nobody confirms end it too */
+#define IDLE_EXTRA_CONNS 16 /* idle connections beyond one for each peer */
+/* Idle connections may use this fraction (1/4) of the process's descriptors;
+   callers and attempts need the rest. */
+#define IDLE_FD_DIVISOR 4
+/* Idle connections are reused for this long.  Servers close idle connections
+   after some seconds, and a request that is sent at the same moment has to be
+   repeated. */
+#define IDLE_CONN_MAX_AGE_S 4L
+/* Interval at which peers that are no longer called are removed. */
+#define PEER_MAX_AGE_US (IDLE_CONN_MAX_AGE_S * CQ_US_PER_S)
+#define KEEPALIVE_INTERVAL_S 1 /* between probes, and before the first */
+#define KEEPALIVE_PROBES 2     /* unanswered probes that end a connection */
+#define UNACKED_MAX_MS 2500 /* unacknowledged bytes end it after this, too */
 
 struct xfer_pool
 {
-  struct loop *loop;                    /* whose thread runs the transfers */
-  CURLM *multi;                         /* all transfers */
-  struct loop_timer timer;              /* libcurl's timer */
-  GHashTable *peers;                    /* address to int64_t: called then */
-  int64_t forgot_us;                    /* the last look for old ones */
-  int idle_max;                         /* of the process's descriptors */
-  int count;                            /* under way, or held; atomic */
-  APR_RING_HEAD (xfer_ring, xfer) live; /* these */
+  struct loop *loop;       /* whose thread runs the transfers */
+  CURLM *multi;            /* all transfers */
+  struct loop_timer timer; /* libcurl's timer */
+  GHashTable *peers;       /* IP:PORT to int64_t: time of the last call */
+  int64_t pruned_us;       /* when old ones were last removed */
+  int idle_conns_max;      /* upper bound of idle connections */
+  int count;               /* in progress, see xfer_count; atomic */
+  APR_RING_HEAD (xfer_ring, xfer) live; /* transfers in progress */
 };
 
 struct xfer
 {
-  APR_RING_ENTRY (xfer) link;  /* in the pool's list */
-  struct xfer_pool *pool;      /* where it runs */
-  CURL *easy;                  /* libcurl's handle */
-  struct curl_slist *header;   /* request header lines */
-  struct xfer_events events;   /* callbacks */
-  void *arg;                   /* passed to them */
-  bool handed_over;            /* before_send let it go */
-  bool stopped;                /* a callback refused */
-  bool framed;                 /* the reply says where it ends */
-  bool stalled;                /* its bytes stopped coming */
-  bool doubted;                /* so it seems: sockets are read once more */
-  struct stall wait;           /* for the reply's next byte */
-  struct loop_timer quiet;     /* looks whether that is over */
-  char error[CURL_ERROR_SIZE]; /* libcurl's words */
+  APR_RING_ENTRY (xfer) link; /* in the pool's list */
+  struct xfer_pool *pool;     /* where it runs */
+  CURL *easy;                 /* libcurl's handle */
+  struct curl_slist *headers; /* request header lines */
+  struct xfer_events events;  /* callbacks */
+  void *arg;                  /* passed to them */
+  bool handed_over;           /* before_send let the request go out */
+  bool stopped;               /* a callback stopped it */
+  bool is_delimited;          /* the reply's headers say where it ends */
+  bool stalled;           /* part of the reply came, then none for too long */
+  bool timeout_suspected; /* a limit passed; sockets are read once more */
+  struct stall stall;     /* limits on the wait for the reply's next byte */
+  struct loop_timer stall_timer; /* fires when such a limit may have passed */
+  char error[CURL_ERROR_SIZE];   /* libcurl's message */
 };
 
-static void finish_done (struct xfer_pool *p);
+static void finish_completed (struct xfer_pool *p);
 
 static void
-act (struct xfer_pool *p, curl_socket_t fd, int events)
+handle_socket (struct xfer_pool *p, curl_socket_t fd, int events)
 {
   int running;
 
   curl_multi_socket_action (p->multi, fd, events, &running);
-  finish_done (p);
+  finish_completed (p);
 }
 
 static void
-on_ready (void *arg, int fd, bool readable, bool writable)
+on_socket_ready (void *arg, int fd, bool readable, bool writable)
 {
-  act (arg, fd,
-       (readable ? CURL_CSELECT_IN : 0) | (writable ? CURL_CSELECT_OUT : 0));
+  handle_socket (arg, fd,
+                 (readable ? CURL_CSELECT_IN : 0)
+                     | (writable ? CURL_CSELECT_OUT : 0));
 }
 
 static void
 on_timer (void *arg, int64_t now_us)
 {
   (void)now_us;
-  act (arg, CURL_SOCKET_TIMEOUT, 0);
+  handle_socket (arg, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -99,7 +101,7 @@
     }
   if (f == NULL)
     {
-      f = loop_add_fd (p->loop, fd, on_ready, p);
+      f = loop_add_fd (p->loop, fd, on_socket_ready, p);
       curl_multi_assign (p->multi, fd, f);
     }
   loop_watch (p->loop, f, what & CURL_POLL_IN, what & CURL_POLL_OUT);
@@ -120,13 +122,13 @@
 }
 
 static int
-idle_max (void)
+max_idle_conns (void)
 {
   struct rlimit files;
 
   if (getrlimit (RLIMIT_NOFILE, &files) != 0)
-    return IDLE_SPARE;
-  return (int)(MIN (files.rlim_cur, INT_MAX) / IDLE_PART);
+    return IDLE_EXTRA_CONNS;
+  return (int)(MIN (files.rlim_cur, INT_MAX) / IDLE_FD_DIVISOR);
 }
 
 struct xfer_pool *
@@ -144,7 +146,7 @@
   curl_multi_setopt (p->multi, CURLMOPT_TIMERFUNCTION, set_timer);
   curl_multi_setopt (p->multi, CURLMOPT_TIMERDATA, p);
   p->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  p->idle_max = idle_max ();
+  p->idle_conns_max = max_idle_conns ();
   return p;
 }
 
@@ -157,7 +159,7 @@
   g_free (p);
 }
 
-/* The last moment before a byte leaves on this connection. */
+/* libcurl calls this when the connection is ready and nothing was sent yet. */
 static int
 before_request (void *arg, char *ip, char *local_ip, int port, int local_port)
 {
@@ -185,44 +187,44 @@
 }
 
 static void
-arm_quiet (struct xfer *x)
+arm_stall_timer (struct xfer *x)
 {
-  int64_t due = stall_due_us (&x->wait);
+  int64_t due = stall_due_us (&x->stall);
 
   if (due < INT64_MAX)
-    loop_arm (x->pool->loop, &x->quiet, due);
+    loop_arm (x->pool->loop, &x->stall_timer, due);
 }
 
-/* Later bytes only move the end away, which the timer sees when it fires; the
-   first one may bring it nearer. */
+/* The first byte may move the deadline earlier, so the timer is armed again.
+   Further bytes only move it later, which is checked when the timer fires. */
 static void
-note_byte (struct xfer *x)
+record_byte (struct xfer *x)
 {
-  bool first = !x->wait.begun;
+  bool first = !x->stall.begun;
 
-  x->doubted = false;
-  stall_byte (&x->wait, loop_now_us ());
+  x->timeout_suspected = false;
+  stall_byte (&x->stall, loop_now_us ());
   if (first)
-    arm_quiet (x);
+    arm_stall_timer (x);
 }
 
 static size_t
-take_header (char *line, size_t size, size_t count, void *arg)
+on_header_line (char *line, size_t size, size_t count, void *arg)
 {
   struct xfer *x = arg;
   size_t len = size * count;
 
-  note_byte (x);
+  record_byte (x);
   if (starts_with (line, len, "content-length:")
       || starts_with (line, len, "transfer-encoding:"))
-    x->framed = true;
+    x->is_delimited = true;
   if (x->events.on_header != NULL)
     x->events.on_header (x->arg, line, len);
   return len;
 }
 
 static int
-status_of (const struct xfer *x)
+http_status (const struct xfer *x)
 {
   long status = 0;
 
@@ -231,15 +233,15 @@
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *arg)
+on_body_data (char *data, size_t size, size_t count, void *arg)
 {
   struct xfer *x = arg;
   size_t len = size * count;
 
-  note_byte (x);
+  record_byte (x);
   if (x->events.on_body == NULL)
     return len;
-  switch (x->events.on_body (x->arg, status_of (x), data, len))
+  switch (x->events.on_body (x->arg, http_status (x), data, len))
     {
     case XFER_CONTINUE:
       break;
@@ -255,17 +257,18 @@
 static void
 xfer_release (struct xfer *x)
 {
-  loop_disarm (&x->quiet);
+  loop_disarm (&x->stall_timer);
   APR_RING_REMOVE (x, link);
   __atomic_fetch_sub (&x->pool->count, 1, __ATOMIC_RELAXED);
   curl_easy_cleanup (x->easy);
-  curl_slist_free_all (x->header);
+  curl_slist_free_all (x->headers);
   g_free (x);
 }
 
-/* A machine that is up said so: other than silence, that is no cut link. */
+/* The machine at the address answered that nothing listens there.  Unlike a
+   timeout, this rules out a broken link. */
 static bool
-is_refused (const struct xfer *x, CURLcode code)
+is_connection_refused (const struct xfer *x, CURLcode code)
 {
   long error = 0;
 
@@ -275,20 +278,21 @@
 }
 
 static void
-finish_one (struct xfer *x, CURLcode code)
+finish (struct xfer *x, CURLcode code)
 {
   struct xfer_end end = { .handed_over = x->handed_over };
 
-  end.status = status_of (x);
+  end.status = http_status (x);
   end.stopped = x->stopped;
   end.stalled = x->stalled;
-  end.connection_refused = is_refused (x, code);
+  end.connection_refused = is_connection_refused (x, code);
   /*
-   * A reply that only the connection's end delimits looks whole when its
-   * sender died half way, so it does not count as whole.
+   * A reply that is delimited only by the close of the connection looks
+   * complete even when its sender died in the middle, so it does not count as
+   * complete.
    */
   end.no_error = code == CURLE_OK;
-  end.complete = end.no_error && x->framed;
+  end.complete = end.no_error && x->is_delimited;
   end.error = code == CURLE_OK   ? ""
               : x->error[0] != 0 ? x->error
                                  : curl_easy_strerror (code);
@@ -298,27 +302,28 @@
 }
 
 /*
- * Armed again only when it fires, since bytes come far more often.  What came
- * while the VM was busy with another socket, or suspended, has not been read
- * when the timer fires late: the loop reads all sockets once more first.  A
- * large answer that took a second to decode ended all other calls otherwise.
+ * The timer is armed again only when it fires, since bytes come far more
+ * often.  When it fires late, because the VM was busy with another socket or
+ * was suspended, bytes that arrived meanwhile are not read yet.  So the loop
+ * reads all sockets once more before the transfer ends.  Without this, a large
+ * reply that took a second to decode ended all other calls.
  */
 static void
-on_quiet (void *arg, int64_t now_us)
+on_stall_timer (void *arg, int64_t now_us)
 {
   struct xfer *x = arg;
-  enum stall_state state = stall_state (&x->wait, now_us);
+  enum stall_state state = stall_state (&x->stall, now_us);
 
   if (state == STALL_COMING)
     {
-      arm_quiet (x);
+      arm_stall_timer (x);
       return;
     }
-  if (!x->doubted)
+  if (!x->timeout_suspected)
     {
-      x->doubted = true;
-      /* Later than this turn of the loop. */
-      loop_arm (x->pool->loop, &x->quiet, now_us + 1);
+      x->timeout_suspected = true;
+      /* Fires in the next iteration of the loop. */
+      loop_arm (x->pool->loop, &x->stall_timer, now_us + 1);
       return;
     }
   x->stalled = state == STALL_MIDWAY;
@@ -326,18 +331,18 @@
              x->stalled ? "no further byte of the reply in time"
                         : "no byte of the reply in time",
              sizeof x->error);
-  finish_one (x, CURLE_OPERATION_TIMEDOUT);
+  finish (x, CURLE_OPERATION_TIMEDOUT);
 }
 
 void
 xfer_pool_abort (struct xfer_pool *p)
 {
   while (!APR_RING_EMPTY (&p->live, xfer, link))
-    finish_one (APR_RING_FIRST (&p->live), CURLE_ABORTED_BY_CALLBACK);
+    finish (APR_RING_FIRST (&p->live), CURLE_ABORTED_BY_CALLBACK);
 }
 
 static void
-finish_done (struct xfer_pool *p)
+finish_completed (struct xfer_pool *p)
 {
   struct xfer *x;
   CURLMsg *m;
@@ -348,7 +353,7 @@
       if (m->msg != CURLMSG_DONE)
         continue;
       curl_easy_getinfo (m->easy_handle, CURLINFO_PRIVATE, (char **)&x);
-      finish_one (x, m->data.result);
+      finish (x, m->data.result);
     }
 }
 
@@ -356,11 +361,11 @@
 set_request (struct xfer *x, const struct xfer_opts *o)
 {
   CURL *e = x->easy;
-  const char *usual;
+  const char *default_method;
   int i;
 
   curl_easy_setopt (e, CURLOPT_URL, o->url);
-  /* A target goes out byte by byte; a URL would be cleaned up on the way. */
+  /* The request target is sent unchanged; libcurl would normalize a URL. */
   if (o->target != NULL)
     curl_easy_setopt (e, CURLOPT_REQUEST_TARGET, o->target);
   if (o->body != NULL)
@@ -375,38 +380,41 @@
       curl_easy_setopt (e, CURLOPT_POST, 1L);
       curl_easy_setopt (e, CURLOPT_POSTFIELDSIZE, 0L);
     }
-  usual = o->body != NULL ? "POST" : "GET";
+  default_method = o->body != NULL ? "POST" : "GET";
   if (strcmp (o->method, "HEAD") == 0)
     curl_easy_setopt (e, CURLOPT_NOBODY, 1L);
-  else if (strcmp (o->method, "POST") != 0 && strcmp (o->method, usual) != 0)
+  else if (strcmp (o->method, "POST") != 0
+           && strcmp (o->method, default_method) != 0)
     curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, o->method);
-  /* "Expect: 100-continue" would hold back long prompts for a round trip. */
-  x->header = curl_slist_append (NULL, "Expect:");
+  /* "Expect: 100-continue" would delay long prompts by a round trip. */
+  x->headers = curl_slist_append (NULL, "Expect:");
   for (i = 0; o->headers != NULL && o->headers[i] != NULL; i++)
-    x->header = curl_slist_append (x->header, o->headers[i]);
-  curl_easy_setopt (e, CURLOPT_HTTPHEADER, x->header);
+    x->headers = curl_slist_append (x->headers, o->headers[i]);
+  curl_easy_setopt (e, CURLOPT_HTTPHEADER, x->headers);
 }
 
 /*
- * A peer that lost power or is cut off answers nothing, and a connection may
- * go silent for good while new ones work.  Neither shows by itself: the
- * request would hang until its deadline.  Unanswered probes end it.
+ * A peer that lost power or is cut off sends nothing, and a connection may
+ * stop working while new ones to the same peer work.  TCP does not report
+ * either by itself, and the request would hang until its deadline.  Keepalive
+ * probes without an answer end the connection.
  */
 static int
-set_socket (void *arg, curl_socket_t fd, curlsocktype purpose)
+set_keepalive (void *arg, curl_socket_t fd, curlsocktype purpose)
 {
   static const int on = 1;
-  static const int idle_s = SILENCE_PROBE_S;
-  static const int probes = SILENCE_PROBES;
-  static const unsigned user_ms = SILENCE_MAX_MS;
+  static const int interval_s = KEEPALIVE_INTERVAL_S;
+  static const int probes = KEEPALIVE_PROBES;
+  static const unsigned unacked_ms = UNACKED_MAX_MS;
 
   (void)arg;
   (void)purpose;
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &idle_s, sizeof idle_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval_s, sizeof interval_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_ms, sizeof user_ms);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_ms,
+              sizeof unacked_ms);
   return CURL_SOCKOPT_OK;
 }
 
@@ -421,14 +429,14 @@
   curl_easy_setopt (e, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (e, CURLOPT_BUFFERSIZE, RECEIVE_BYTES);
   curl_easy_setopt (e, CURLOPT_TCP_NODELAY, 1L);
-  curl_easy_setopt (e, CURLOPT_SOCKOPTFUNCTION, set_socket);
-  curl_easy_setopt (e, CURLOPT_MAXAGE_CONN, IDLE_MAX_S);
+  curl_easy_setopt (e, CURLOPT_SOCKOPTFUNCTION, set_keepalive);
+  curl_easy_setopt (e, CURLOPT_MAXAGE_CONN, IDLE_CONN_MAX_AGE_S);
   curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)o->connect_timeout_ms);
   curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)o->timeout_ms);
   /*
-   * On a kept-alive connection that the other end has just closed, libcurl
-   * sends the request again by itself: the call runs twice and nobody is
-   * told.  A connection of its own has no such second try.
+   * On a reused connection that the server has just closed, libcurl silently
+   * sends the request again, so the call may run twice.  It does not do so on
+   * a new connection.
    */
   if (o->new_connection)
     {
@@ -446,9 +454,9 @@
   curl_easy_setopt (e, CURLOPT_ERRORBUFFER, x->error);
   curl_easy_setopt (e, CURLOPT_PREREQFUNCTION, before_request);
   curl_easy_setopt (e, CURLOPT_PREREQDATA, x);
-  curl_easy_setopt (e, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (e, CURLOPT_HEADERFUNCTION, on_header_line);
   curl_easy_setopt (e, CURLOPT_HEADERDATA, x);
-  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_body_data);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, x);
 }
 
@@ -470,19 +478,19 @@
   __atomic_fetch_add (&p->count, n, __ATOMIC_RELAXED);
 }
 
-/* --- kept connections ------------------------------------------------ */
+/* --- idle connections ------------------------------------------------ */
 
 static gboolean
-is_forgotten (gpointer address, gpointer called_us, gpointer now_us)
+is_peer_expired (gpointer address, gpointer called_us, gpointer now_us)
 {
   const int64_t *called = called_us, *now = now_us;
 
   (void)address;
-  return *now - *called > FORGET_US;
+  return *now - *called > PEER_MAX_AGE_US;
 }
 
 static void
-note_peer (struct xfer_pool *p, const char *url, int64_t now_us)
+record_peer (struct xfer_pool *p, const char *url, int64_t now_us)
 {
   const char *address = url + strlen (SCHEME);
   char *key = g_strndup (address, strcspn (address, "/"));
@@ -499,23 +507,25 @@
 }
 
 /*
- * libcurl counts connections in use against the bound as well, and closes the
- * one that has been idle longest.  Where more peers are polled than it keeps,
- * that is the one that is needed next.
+ * libcurl counts connections in use against the limit as well, and closes the
+ * one that has been idle longest.  When more peers are polled than it keeps,
+ * that is the connection that is needed next.
  */
 static void
-bound_idle (struct xfer_pool *p, const struct xfer_opts *o, int64_t now_us)
+limit_idle_conns (struct xfer_pool *p, const struct xfer_opts *o,
+                  int64_t now_us)
 {
   int peers;
 
   if (!o->new_connection)
-    note_peer (p, o->url, now_us);
-  if (now_us - p->forgot_us > FORGET_US)
+    record_peer (p, o->url, now_us);
+  if (now_us - p->pruned_us > PEER_MAX_AGE_US)
     {
-      g_hash_table_foreach_remove (p->peers, is_forgotten, &now_us);
-      p->forgot_us = now_us;
+      g_hash_table_foreach_remove (p->peers, is_peer_expired, &now_us);
+      p->pruned_us = now_us;
     }
-  peers = MIN ((int)g_hash_table_size (p->peers) + IDLE_SPARE, p->idle_max);
+  peers = MIN ((int)g_hash_table_size (p->peers) + IDLE_EXTRA_CONNS,
+               p->idle_conns_max);
   curl_multi_setopt (p->multi, CURLMOPT_MAXCONNECTS,
                      (long)(peers + xfer_count (p)));
 }
@@ -535,14 +545,14 @@
   set_request (x, opts);
   set_transport (x, opts);
   set_callbacks (x);
-  x->wait.first_us = opts->first_byte_timeout_ms * 1000;
-  x->wait.more_us = opts->stall_timeout_ms * 1000;
-  x->wait.since_us = loop_now_us ();
-  x->quiet.fire = on_quiet;
-  x->quiet.arg = x;
-  bound_idle (p, opts, x->wait.since_us);
+  x->stall.first_us = opts->first_byte_timeout_ms * 1000;
+  x->stall.more_us = opts->stall_timeout_ms * 1000;
+  x->stall.since_us = loop_now_us ();
+  x->stall_timer.fire = on_stall_timer;
+  x->stall_timer.arg = x;
+  limit_idle_conns (p, opts, x->stall.since_us);
   curl_multi_add_handle (p->multi, x->easy);
-  arm_quiet (x);
+  arm_stall_timer (x);
   return x;
 }
 
