--- a/fetch.c
+++ b/fetch.c
@@ -1,26 +1,26 @@
-/* Transfers whose whole reply is wanted at once. */
+/* HTTP transfers whose reply is collected and passed on as a whole. */
 #include "fetch.h"
 
 #include <string.h>
 
-/* One of them under way. */
+/* One transfer in progress. */
 struct fetch
 {
-  GString *reply;   /* so far */
-  char *body;       /* as sent */
-  size_t reply_max; /* bytes taken */
-  fetch_done done;  /* whom to tell */
-  fetch_step step;  /* or whom to tell bit by bit */
+  GString *reply;         /* bytes received so far */
+  char *body;             /* of the request */
+  size_t reply_max_bytes; /* longest reply that is accepted */
+  fetch_done done;        /* callback, or NULL */
+  fetch_step step;        /* callback in place of done, or NULL */
   void (*header_line) (void *arg, const char *line, size_t len); /* or NULL */
-  void *arg;              /* passed to either */
-  int status;             /* as told */
-  int64_t came_us;        /* when the transfer had ended */
+  void *arg;              /* passed to the callbacks */
+  int status;             /* HTTP status or fetch_error */
+  int64_t ended_us;       /* when the transfer ended */
   struct xfer_pool *pool; /* where it runs */
-  struct loop_work work;  /* further steps */
+  struct loop_work work;  /* calls step again */
 };
 
 static void
-take_header (void *arg, const char *line, size_t len)
+on_header_line (void *arg, const char *line, size_t len)
 {
   struct fetch *f = arg;
 
@@ -29,19 +29,19 @@
 }
 
 static enum xfer_body_result
-take_body (void *arg, int status, const char *data, size_t len)
+on_body (void *arg, int status, const char *data, size_t len)
 {
   struct fetch *f = arg;
 
   (void)status;
-  if (f->reply->len + len > f->reply_max)
+  if (f->reply->len + len > f->reply_max_bytes)
     return XFER_STOP;
   g_string_append_len (f->reply, data, (gssize)len);
   return XFER_CONTINUE;
 }
 
 static int
-status_of (const struct xfer_end *end)
+reply_status (const struct xfer_end *end)
 {
   if (end->complete)
     return end->status;
@@ -53,7 +53,7 @@
 }
 
 static void
-release (struct fetch *f)
+fetch_free (struct fetch *f)
 {
   g_string_free (f->reply, TRUE);
   g_free (f->body);
@@ -61,44 +61,44 @@
 }
 
 static bool
-go_on (void *arg)
+run_step (void *arg)
 {
   struct fetch *f = arg;
   struct xfer_pool *p = f->pool;
 
-  if (f->step (f->arg, f->status, f->reply, f->came_us))
+  if (f->step (f->arg, f->status, f->reply, f->ended_us))
     return true;
-  release (f);
+  fetch_free (f);
   xfer_adjust_count (p, -1);
   return false;
 }
 
-/* The first step is done at once: most replies need no other. */
+/* The first step is done at once, since most replies need only one. */
 static void
-finish (void *arg, const struct xfer_end *end)
+on_end (void *arg, const struct xfer_end *end)
 {
   struct fetch *f = arg;
 
-  f->status = status_of (end);
-  f->came_us = loop_now_us ();
-  if (f->step != NULL && f->step (f->arg, f->status, f->reply, f->came_us))
+  f->status = reply_status (end);
+  f->ended_us = loop_now_us ();
+  if (f->step != NULL && f->step (f->arg, f->status, f->reply, f->ended_us))
     {
       xfer_adjust_count (f->pool, 1);
-      f->work.step = go_on;
+      f->work.step = run_step;
       f->work.arg = f;
       loop_add_work (xfer_loop (f->pool), &f->work);
       return;
     }
   if (f->done != NULL)
     f->done (f->arg, f->status, f->reply);
-  release (f);
+  fetch_free (f);
 }
 
 void
 fetch_start (struct xfer_pool *p, const struct fetch_opts *opts)
 {
   static const struct xfer_events events
-      = { .on_header = take_header, .on_body = take_body, .on_end = finish };
+      = { .on_header = on_header_line, .on_body = on_body, .on_end = on_end };
   g_autofree char *type = NULL;
   const char *headers[3] = { NULL, NULL, NULL };
   int n = 0;
@@ -106,7 +106,7 @@
   struct xfer_opts o = { .method = opts->method, .url = opts->url };
 
   f->reply = g_string_new (NULL);
-  f->reply_max = opts->reply_max_bytes;
+  f->reply_max_bytes = opts->reply_max_bytes;
   f->pool = p;
   f->done = opts->done;
   f->step = opts->step;
--- a/loop.c
+++ b/loop.c
@@ -7,13 +7,13 @@
 #include <apr_poll.h>
 #include <apr_portable.h>
 
-#define POLLSET_SIZE 1024                 /* events taken in one turn */
-#define LONGEST_WAIT_US INT64_C (1000000) /* a turn at least once a second */
+#define POLLSET_SIZE 1024             /* events handled in one iteration */
+#define MAX_POLL_US INT64_C (1000000) /* one iteration a second at least */
 
 /* A watched socket. */
 struct loop_fd
 {
-  APR_RING_ENTRY (loop_fd) link; /* in the list of unused ones */
+  APR_RING_ENTRY (loop_fd) link; /* in the list of unused entries */
   apr_pollfd_t poll;             /* what the pollset watches */
   loop_ready ready;              /* called when ready */
   void *arg;                     /* passed to ready */
@@ -25,13 +25,13 @@
 {
   apr_pool_t *pool;                          /* lives as long as the loop */
   apr_pollset_t *pollset;                    /* watched sockets */
-  APR_RING_HEAD (fd_list, loop_fd) unused;   /* sockets to use again */
-  APR_RING_HEAD (timers, loop_timer) timers; /* armed, first due first */
-  GMutex lock;                               /* guards mail */
-  APR_RING_HEAD (mail, loop_msg) mail;       /* messages to run */
-  GThread *thread;                           /* that runs the loop */
-  APR_RING_HEAD (hooks, loop_hook) hooks;    /* done each turn */
-  APR_RING_HEAD (works, loop_work) works;    /* long work under way */
+  APR_RING_HEAD (fd_list, loop_fd) unused;   /* entries for reuse */
+  APR_RING_HEAD (timers, loop_timer) timers; /* armed, sorted by due time */
+  GMutex lock;                               /* guards msgs */
+  APR_RING_HEAD (msg_list, loop_msg) msgs;   /* messages to run */
+  GThread *thread;                           /* thread that runs the loop */
+  APR_RING_HEAD (hooks, loop_hook) hooks;    /* called in each iteration */
+  APR_RING_HEAD (works, loop_work) works;    /* long work in progress */
   bool stopping;                             /* loop_stop was called */
 };
 
@@ -57,7 +57,7 @@
     g_error ("apr_pollset_create failed: %d", st);
   APR_RING_INIT (&l->unused, loop_fd, link);
   APR_RING_INIT (&l->timers, loop_timer, link);
-  APR_RING_INIT (&l->mail, loop_msg, link);
+  APR_RING_INIT (&l->msgs, loop_msg, link);
   APR_RING_INIT (&l->hooks, loop_hook, link);
   APR_RING_INIT (&l->works, loop_work, link);
   g_mutex_init (&l->lock);
@@ -102,7 +102,7 @@
 {
   struct loop_fd *f;
 
-  /* Pool memory is never given back, so entries are used again. */
+  /* An APR pool frees memory only as a whole, so entries are reused. */
   if (APR_RING_EMPTY (&l->unused, loop_fd, link))
     f = apr_pcalloc (l->pool, sizeof *f);
   else
@@ -141,8 +141,8 @@
   APR_RING_INSERT_TAIL (&l->unused, f, loop_fd, link);
 }
 
-/* The first timer that is due after DUE_US, or the list's sentinel; timers
-   that are due at one time fire in the order in which they were armed. */
+/* The first timer that is due after DUE_US, or the list's sentinel.  Timers
+   with the same due time fire in the order in which they were armed. */
 static struct loop_timer *
 find_later (struct loop *l, int64_t due_us)
 {
@@ -164,8 +164,8 @@
                      : APR_RING_NEXT (last, link);
 }
 
-/* Most timers are due within some ms or when a call has taken too long, so the
-   place is near one end of the list. */
+/* Most timers are due within some milliseconds or at the timeout of a call, so
+   their place is near one end of the list. */
 void
 loop_arm (struct loop *l, struct loop_timer *t, int64_t due_us)
 {
@@ -196,22 +196,22 @@
   bool first;
 
   g_mutex_lock (&l->lock);
-  first = APR_RING_EMPTY (&l->mail, loop_msg, link);
-  APR_RING_INSERT_TAIL (&l->mail, m, loop_msg, link);
+  first = APR_RING_EMPTY (&l->msgs, loop_msg, link);
+  APR_RING_INSERT_TAIL (&l->msgs, m, loop_msg, link);
   g_mutex_unlock (&l->lock);
   if (first && l->thread != g_thread_self ())
     apr_pollset_wakeup (l->pollset);
 }
 
 static struct loop_msg *
-take_mail (struct loop *l)
+dequeue_msg (struct loop *l)
 {
   struct loop_msg *m = NULL;
 
   g_mutex_lock (&l->lock);
-  if (!APR_RING_EMPTY (&l->mail, loop_msg, link))
+  if (!APR_RING_EMPTY (&l->msgs, loop_msg, link))
     {
-      m = APR_RING_FIRST (&l->mail);
+      m = APR_RING_FIRST (&l->msgs);
       APR_RING_REMOVE (m, link);
     }
   g_mutex_unlock (&l->lock);
@@ -219,22 +219,22 @@
 }
 
 static bool
-has_mail (struct loop *l)
+has_msgs (struct loop *l)
 {
   bool has;
 
   g_mutex_lock (&l->lock);
-  has = !APR_RING_EMPTY (&l->mail, loop_msg, link);
+  has = !APR_RING_EMPTY (&l->msgs, loop_msg, link);
   g_mutex_unlock (&l->lock);
   return has;
 }
 
 static void
-run_mail (struct loop *l)
+run_msgs (struct loop *l)
 {
   struct loop_msg *m;
 
-  while ((m = take_mail (l)) != NULL)
+  while ((m = dequeue_msg (l)) != NULL)
     m->run (m->arg);
 }
 
@@ -254,7 +254,7 @@
     }
 }
 
-/* One step of one work in a turn: of several, each has its turn. */
+/* Does one step of one work; several works are served round robin. */
 static void
 run_work (struct loop *l)
 {
@@ -263,20 +263,20 @@
   if (APR_RING_EMPTY (&l->works, loop_work, link))
     return;
   w = APR_RING_FIRST (&l->works);
-  /* The step that ends it may free it, so it is on no list meanwhile. */
+  /* Its last step may free it, so it is taken off the list before. */
   APR_RING_REMOVE (w, link);
   if (w->step (w->arg))
     APR_RING_INSERT_TAIL (&l->works, w, loop_work, link);
 }
 
 static int64_t
-wait_us (struct loop *l)
+poll_timeout_us (struct loop *l)
 {
-  int64_t wait = LONGEST_WAIT_US;
+  int64_t wait = MAX_POLL_US;
   struct loop_hook *h;
   int64_t n;
 
-  if (has_mail (l) || !APR_RING_EMPTY (&l->works, loop_work, link))
+  if (has_msgs (l) || !APR_RING_EMPTY (&l->works, loop_work, link))
     return 0;
   if (!APR_RING_EMPTY (&l->timers, loop_timer, link))
     {
@@ -290,8 +290,8 @@
     if (n >= 0 && n < wait)
       wait = n;
   }
-  /* APR cuts to whole milliseconds: without rounding up, the loop would spin
-     through the last part of every wait. */
+  /* APR rounds down to whole milliseconds.  Without rounding up here, the loop
+     would spin during the last millisecond of every wait. */
   return (wait + 999) / 1000 * 1000;
 }
 
@@ -307,7 +307,7 @@
       f = ready[i].client_data;
       in = (ready[i].rtnevents & (APR_POLLIN | APR_POLLHUP | APR_POLLERR));
       out = (ready[i].rtnevents & (APR_POLLOUT | APR_POLLERR));
-      /* An earlier callback of this turn may have removed it. */
+      /* An earlier callback of this iteration may have removed it. */
       if (f->ready != NULL && f->watched)
         f->ready (f->arg, f->fd, in, out);
     }
@@ -324,18 +324,18 @@
   while (!l->stopping)
     {
       n = 0;
-      if (apr_pollset_poll (l->pollset, wait_us (l), &n, &ready)
+      if (apr_pollset_poll (l->pollset, poll_timeout_us (l), &n, &ready)
           == APR_SUCCESS)
         run_sockets (ready, n);
       run_timers (l);
-      run_mail (l);
+      run_msgs (l);
       run_work (l);
       APR_RING_FOREACH (h, &l->hooks, loop_hook, link)
       h->run (h->arg);
     }
-  run_mail (l);
+  run_msgs (l);
   while (!APR_RING_EMPTY (&l->works, loop_work, link))
     run_work (l);
-  /* It may be run again. */
+  /* loop_run may be called again. */
   l->stopping = false;
 }
--- a/prompt.c
+++ b/prompt.c
@@ -5,21 +5,21 @@
 
 G_DEFINE_QUARK (wire - error - quark, wire_error)
 
-/* Fields that only the system may set towards an engine. */
-static const char *const reserved[]
+/* Fields of a request to an engine that only the system may set. */
+static const char *const reserved_fields[]
     = { "priority", "cache_salt", "resume", "kv_import" };
 
 static bool
-field_fault (GError **err, const char *field, const char *expected)
+set_field_error (GError **err, const char *field, const char *expected)
 {
   g_set_error (err, WIRE_ERROR, WIRE_ERROR_FIELD, "%s: expected %s", field,
                expected);
   return false;
 }
 
-/* Text of a message's content: a string, or a list of text parts. */
+/* Appends a message's content, which is a string or a list of text parts. */
 static bool
-add_content (GString *text, const json_t *content, GError **err)
+append_content (GString *text, const json_t *content, GError **err)
 {
   const json_t *part;
   const char *s;
@@ -32,19 +32,19 @@
       return true;
     }
   if (!json_is_array (content))
-    return field_fault (err, "content", "a string or a list of parts");
+    return set_field_error (err, "content", "a string or a list of parts");
   json_array_foreach (content, i, part)
   {
     s = json_string_value (json_object_get (part, "text"));
     if (s == NULL)
-      return field_fault (err, "content", "parts with a \"text\"");
+      return set_field_error (err, "content", "parts with a \"text\"");
     g_string_append (text, s);
   }
   return true;
 }
 
 static bool
-read_messages (struct prompt *p, GError **err)
+parse_messages (struct prompt *p, GError **err)
 {
   const json_t *list = json_object_get (p->doc, "messages");
   const json_t *message;
@@ -52,15 +52,15 @@
   size_t i;
 
   if (!json_is_array (list) || json_array_size (list) == 0)
-    return field_fault (err, "messages", "a list of messages");
+    return set_field_error (err, "messages", "a list of messages");
   json_array_foreach (list, i, message)
   {
     role = json_string_value (json_object_get (message, "role"));
     if (role == NULL)
-      return field_fault (err, "role", "a string");
+      return set_field_error (err, "role", "a string");
     g_string_append (p->text, role);
     g_string_append_c (p->text, '\n');
-    if (!add_content (p->text, json_object_get (message, "content"), err))
+    if (!append_content (p->text, json_object_get (message, "content"), err))
       return false;
     g_string_append_c (p->text, '\n');
   }
@@ -68,36 +68,36 @@
 }
 
 static bool
-read_text (struct prompt *p, GError **err)
+parse_text (struct prompt *p, GError **err)
 {
   const json_t *text = json_object_get (p->doc, "prompt");
 
   if (p->chat)
-    return read_messages (p, err);
+    return parse_messages (p, err);
   if (!json_is_string (text))
-    return field_fault (err, "prompt", "a string");
+    return set_field_error (err, "prompt", "a string");
   g_string_append_len (p->text, json_string_value (text),
                        (gssize)json_string_length (text));
   return true;
 }
 
 static bool
-read_options (struct prompt *p, GError **err)
+parse_options (struct prompt *p, GError **err)
 {
   const json_t *stream = json_object_get (p->doc, "stream");
   const json_t *max = json_object_get (p->doc, "max_tokens");
 
   p->service = json_string_value (json_object_get (p->doc, "model"));
   if (p->service == NULL)
-    return field_fault (err, "model", "the name of a service");
+    return set_field_error (err, "model", "the name of a service");
   if (stream != NULL && !json_is_boolean (stream))
-    return field_fault (err, "stream", "true or false");
+    return set_field_error (err, "stream", "true or false");
   p->stream = json_is_true (stream);
   if (max == NULL)
     return true;
   p->max_tokens = json_integer_value (max);
   if (!json_is_integer (max) || p->max_tokens < 1)
-    return field_fault (err, "max_tokens", "a positive integer");
+    return set_field_error (err, "max_tokens", "a positive integer");
   return true;
 }
 
@@ -106,20 +106,20 @@
               GError **err)
 {
   struct prompt p = { .chat = chat };
-  json_error_t why;
+  json_error_t error;
 
-  p.doc = json_loadb (body, len, JSON_REJECT_DUPLICATES, &why);
+  p.doc = json_loadb (body, len, JSON_REJECT_DUPLICATES, &error);
   if (!json_is_object (p.doc))
     {
-      /* The parser's words quote the input, which must not reach a log. */
+      /* The parser's message quotes the input, which must not be logged. */
       g_set_error (err, WIRE_ERROR, WIRE_ERROR_JSON,
                    "expected a JSON object in UTF-8; fault near byte %d",
-                   p.doc == NULL ? why.position : 0);
+                   p.doc == NULL ? error.position : 0);
       json_decref (p.doc);
       return false;
     }
   p.text = g_string_new (NULL);
-  if (!read_options (&p, err) || !read_text (&p, err))
+  if (!parse_options (&p, err) || !parse_text (&p, err))
     {
       prompt_clear (&p);
       return false;
@@ -144,12 +144,12 @@
 {
   json_t *doc = json_copy (prompt->doc);
   json_t *resume;
-  char *dumped, *text;
+  char *json, *text;
   size_t i;
 
-  /* A caller must not jump the queue or reach another's cache by itself. */
-  for (i = 0; i < G_N_ELEMENTS (reserved); i++)
-    json_object_del (doc, reserved[i]);
+  /* A caller must not raise its priority or use another workspace's cache. */
+  for (i = 0; i < G_N_ELEMENTS (reserved_fields); i++)
+    json_object_del (doc, reserved_fields[i]);
   json_object_set_new (doc, "priority", json_integer (extra->urgent ? 1 : 0));
   json_object_set_new (doc, "cache_salt", json_string (extra->cache_salt));
   json_object_set_new (doc, "max_tokens", json_integer (extra->max_tokens));
@@ -162,9 +162,9 @@
     }
   if (extra->kv_import != NULL)
     json_object_set_new (doc, "kv_import", extra->kv_import);
-  dumped = json_dumps (doc, JSON_COMPACT);
-  text = g_strdup (dumped);
-  free (dumped);
+  json = json_dumps (doc, JSON_COMPACT);
+  text = g_strdup (json);
+  free (json);
   json_decref (doc);
   return text;
 }
--- a/strm.c
+++ b/strm.c
@@ -1,11 +1,11 @@
-/* Streams of server-sent events on their way from an engine to a caller. */
+/* Streams of server-sent events, relayed from an engine to a caller. */
 #include "wire.h"
 
 #include <string.h>
 
 #define EVENT_PREFIX "data: "
 #define EVENT_END "\n\n"
-#define END_MARK "[DONE]"
+#define DONE_MARK "[DONE]"
 
 void
 strm_init (struct strm *s, const char *version, size_t text_max)
@@ -29,8 +29,8 @@
 }
 
 /*
- * An attempt that was given up may still deliver: its bytes carry its number
- * and are dropped, else the caller would read two answers woven together.
+ * Bytes of an abandoned attempt may still arrive.  They carry its number and
+ * are dropped, or else the caller would get two replies mixed together.
  */
 void
 strm_start_attempt (struct strm *s, int attempt)
@@ -54,13 +54,13 @@
 }
 
 static void
-keep_text (struct strm *s, const char *text)
+store_text (struct strm *s, const char *text)
 {
   if (!s->resumable)
     return;
   if (s->text->len + strlen (text) > s->text_max)
     {
-      /* Without all of it an engine cannot go on where the stream broke. */
+      /* Without all text an engine cannot resume where the stream broke. */
       s->resumable = false;
       g_string_free (s->text, TRUE);
       s->text = g_string_new (NULL);
@@ -80,7 +80,7 @@
 }
 
 static enum strm_code
-take_json (struct strm *s, const json_t *event)
+process_json (struct strm *s, const json_t *event)
 {
   const char *text;
 
@@ -94,32 +94,32 @@
   if (text != NULL && text[0] != '\0')
     {
       s->tokens++;
-      keep_text (s, text);
+      store_text (s, text);
     }
   return STRM_MORE;
 }
 
-/* Take one whole event of LEN bytes, its end mark excluded. */
+/* Parses one complete event of LEN bytes without EVENT_END. */
 static enum strm_code
-take_event (struct strm *s, const char *data, size_t len)
+process_event (struct strm *s, const char *data, size_t len)
 {
   size_t prefix = strlen (EVENT_PREFIX);
   enum strm_code code;
   json_t *event;
 
   if (len > 0 && data[0] == ':')
-    return STRM_MORE; /* a comment, as engines send to keep alive */
+    return STRM_MORE; /* a comment, which engines send as keepalive */
   if (len < prefix || memcmp (data, EVENT_PREFIX, prefix) != 0)
     return STRM_INVALID;
   data += prefix;
   len -= prefix;
-  if (len == strlen (END_MARK) && memcmp (data, END_MARK, len) == 0)
+  if (len == strlen (DONE_MARK) && memcmp (data, DONE_MARK, len) == 0)
     {
       s->ended = true;
       return STRM_DONE;
     }
   event = json_loadb (data, len, 0, NULL);
-  code = take_json (s, event);
+  code = process_json (s, event);
   json_decref (event);
   return code;
 }
@@ -138,7 +138,7 @@
   start = s->partial->str;
   while (code == STRM_MORE && (end = strstr (start, EVENT_END)) != NULL)
     {
-      code = take_event (s, start, (size_t)(end - start));
+      code = process_event (s, start, (size_t)(end - start));
       end += strlen (EVENT_END);
       if (code == STRM_MORE || code == STRM_DONE)
         g_string_append_len (out, start, end - start);
