--- a/regress/fuzz-input.c
+++ b/regress/fuzz-input.c
@@ -1,6 +1,7 @@
 /*
- * libFuzzer target for what parses bytes of callers, engines and peers.  The
- * first byte chooses the parser, so that one corpus serves all.
+ * libFuzzer target for the parsers of input from callers, engines, the
+ * platform and peers.  The first byte selects the parser, so that one corpus
+ * serves all.
  */
 #include <stdint.h>
 #include <string.h>
@@ -16,7 +17,7 @@
 fuzz_prompt (const char *data, size_t size, bool chat)
 {
   struct prompt_extra extra = { .cache_salt = "w", .max_tokens = 1 };
-  struct prompt p, again;
+  struct prompt p, reparsed;
   GError *err = NULL;
   char *text;
 
@@ -26,12 +27,12 @@
       return;
     }
   text = prompt_to_json (&p, &extra);
-  /* What is sent on must be readable again, and the same prompt. */
-  if (!prompt_parse (text, strlen (text), chat, &again, NULL))
-    g_error ("written prompt cannot be read");
-  if (!g_string_equal (p.text, again.text))
-    g_error ("written prompt is another");
-  prompt_clear (&again);
+  /* The request that is sent on must parse, and have the same prompt. */
+  if (!prompt_parse (text, strlen (text), chat, &reparsed, NULL))
+    g_error ("written request does not parse");
+  if (!g_string_equal (p.text, reparsed.text))
+    g_error ("written request has another prompt");
+  prompt_clear (&reparsed);
   prompt_clear (&p);
   g_free (text);
 }
@@ -48,12 +49,12 @@
   if (strm_feed (&s, 1, data, half, out) == STRM_MORE)
     strm_feed (&s, 1, data + half, size - half, out);
   if (out->len > size)
-    g_error ("more came out than went in");
+    g_error ("output longer than the input");
   strm_clear (&s);
   g_string_free (out, TRUE);
 }
 
-/* What other VMs send, once it is unsealed. */
+/* Messages of other VMs, after decryption. */
 static void
 fuzz_peer (const char *data, size_t size, xdrproc_t proc, void *value)
 {
@@ -78,7 +79,7 @@
   fuzz_peer (data, size, (xdrproc_t)xdr_peer_envelope, &envelope);
 }
 
-/* What the platform's store holds. */
+/* Rows and replies of the platform's store. */
 static void
 fuzz_platform (const char *data, size_t size)
 {
@@ -97,10 +98,10 @@
   if (pdecode_endpoint ("id", data, size, &listing) == NULL
       && (listing.address[0] == '\0' || listing.service[0] == '\0'
           || listing.slots <= 0 || listing.born_ms < 0))
-    g_error ("an endpoint without an address");
+    g_error ("an endpoint without address, service or slots");
   if (pdecode_wanted (data, size, model, sizeof model, &version)
       && version <= 0)
-    g_error ("a version that is none");
+    g_error ("a weight version that is not positive");
   news.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
   pdecode_rows (data, size, &news);
   pdecode_clear (&news);
@@ -109,7 +110,7 @@
   g_array_free (parts.events, TRUE);
 }
 
-/* Texts of headers and of the lease's row. */
+/* Header values, and the row of the lease. */
 static void
 fuzz_texts (const char *data, size_t size)
 {
@@ -120,19 +121,19 @@
   int i, n = pdecode_prompt (text, parts, PARTS_MAX);
 
   if (n < 0 || n > PARTS_MAX)
-    g_error ("more parts than there is room for");
+    g_error ("more parts than PARTS_MAX");
   for (i = 0; i < n; i++)
     if (strlen (parts[i].id) >= sizeof parts[i].id)
-      g_error ("an id without an end");
+      g_error ("a part's id without a terminating NUL");
   pdecode_load (text, &running, &waiting);
   if (running < -1 || waiting < 0)
-    g_error ("a load that is none");
+    g_error ("a load out of its range");
   pdecode_lease (text, &row);
   if (memchr (row.holder, '\0', sizeof row.holder) == NULL)
-    g_error ("a holder without an end");
+    g_error ("a lease holder without a terminating NUL");
 }
 
-/* Events that are passed on, whatever the cut. */
+/* Events that are relayed, received in two pieces. */
 static void
 fuzz_events (const char *data, size_t size)
 {
@@ -144,13 +145,13 @@
   evt_feed (&e, data, half, 4096, out);
   evt_feed (&e, data + half, size - half, 4096, out);
   if (out->len + e.part->len > size)
-    g_error ("more came out than went in");
+    g_error ("output longer than the input");
   evt_clear (&e);
 }
 
-/* --- whole sets of headers ------------------------------------------- */
+/* --- complete sets of headers ---------------------------------------- */
 
-/* Names that a first byte of 1 and up stands for; the rest is appended. */
+/* Names that a first byte of 1 and up selects; the other bytes follow it. */
 static const char *const header_names[] = {
   "Host",
   "Authorization",
@@ -178,16 +179,16 @@
   "HTTP/1.1 200 OK",
 };
 
-/* What only the system may set, or no endpoint may see; those that end in a
-   hyphen stand for all names that begin so. */
-static const char *const kept_back[] = {
+/* Headers that only the system may set, or that no endpoint may get.  Names
+   that end in a hyphen are prefixes. */
+static const char *const not_relayed[] = {
   "Authorization", "Connection", "Host",          "Kv-From",
   "X-Cache-Salt",  "X-Expect-",  "X-Hold",        "X-Kv-",
   "X-Pin-Ms",      "X-Tenant",   "X-Deadline-Ms", "Transfer-Encoding",
   "Last-Event-Id",
 };
 
-/* The same for values. */
+/* Values that a first byte selects in the same way. */
 static const char *const header_values[] = {
   "-1",
   "0",
@@ -203,7 +204,8 @@
   "15000",
 };
 
-/* TABLE's text for the first byte, if there is one, and the rest as it is. */
+/* DATA with its first byte replaced by the entry of TABLE that it selects, if
+   any. */
 static char *
 expand (const char *data, size_t size, const char *const *table, size_t n)
 {
@@ -214,7 +216,7 @@
   return g_strdup_printf ("%s%.*s", table[first - 1], (int)size - 1, data + 1);
 }
 
-/* Names and values by turns, each ended by a NUL; returns them as texts. */
+/* Reads alternating names and values, each terminated by a NUL. */
 static GPtrArray *
 read_headers (const char *data, size_t size)
 {
@@ -235,9 +237,9 @@
   return list;
 }
 
-/* Whether a Connection header of LIST names NAME. */
+/* Whether a Connection header of LIST lists NAME. */
 static bool
-is_of_connection (const GPtrArray *list, const char *name)
+is_listed_in_connection (const GPtrArray *list, const char *name)
 {
   bool found = false;
   guint i;
@@ -263,19 +265,19 @@
   size_t i, n;
 
   if (name[0] == '\0' || !g_str_has_prefix (line + strlen (name), ": "))
-    g_error ("a line that is no header");
+    g_error ("a line that is not a header");
   if (strpbrk (line, "\r\n") != NULL || strpbrk (name, " \t") != NULL)
-    g_error ("a line that may be read as another");
-  for (i = 0; i < G_N_ELEMENTS (kept_back); i++)
+    g_error ("a header with a line break, or a blank in its name");
+  for (i = 0; i < G_N_ELEMENTS (not_relayed); i++)
     {
-      n = strlen (kept_back[i]);
-      if (kept_back[i][n - 1] != '-')
+      n = strlen (not_relayed[i]);
+      if (not_relayed[i][n - 1] != '-')
         n++;
-      if (g_ascii_strncasecmp (name, kept_back[i], n) == 0)
-        g_error ("passed on: %s", kept_back[i]);
+      if (g_ascii_strncasecmp (name, not_relayed[i], n) == 0)
+        g_error ("passed on: %s", not_relayed[i]);
     }
-  if (is_of_connection (list, name))
-    g_error ("passed on: what concerns the connection");
+  if (is_listed_in_connection (list, name))
+    g_error ("passed on: a header that Connection lists");
 }
 
 static void
@@ -287,19 +289,19 @@
 
   if (a->lines->len > list->len / 2 + 1
       || a->lines->pdata[a->lines->len - 1] != NULL)
-    g_error ("lines without an end, or too many");
+    g_error ("header list without NULL at its end, or too long");
   for (i = 0; i + 1 < a->lines->len; i++)
     check_line (list, a->lines->pdata[i]);
   if (a->deadline_ms < -1 || a->deadline_ms > INT64_C (86400000))
-    g_error ("a deadline that is none");
+    g_error ("a deadline out of its range");
   if (a->resume_after < -1 || a->nparts < 0 || a->nparts > PARTS_MAX)
-    g_error ("a number out of its bounds");
+    g_error ("a number out of its range");
   for (k = 0; k < a->nparts; k++)
     {
       tokens += a->parts[k].tokens;
       if (a->parts[k].tokens < 0 || tokens < 0
           || strlen (a->parts[k].id) >= sizeof a->parts[k].id)
-        g_error ("a part that is none");
+        g_error ("a part with invalid tokens or id");
     }
 }
 
@@ -317,12 +319,11 @@
   pasked_clear (&a);
 }
 
-/* Whether a header of the last head of LIST names a request other than "id".
- */
+/* Whether X-Attempt-Id in the last head of LIST differs from "id". */
 static bool
-is_of_another (const GPtrArray *list)
+is_other_attempt (const GPtrArray *list)
 {
-  bool another = false;
+  bool is_other = false;
   guint i;
 
   for (i = 0; i < list->len; i += 2)
@@ -330,13 +331,13 @@
       g_autofree char *value = NULL;
 
       if (g_str_has_prefix (list->pdata[i], "HTTP/"))
-        another = false;
+        is_other = false;
       if (g_ascii_strcasecmp (list->pdata[i], "X-Attempt-Id") != 0)
         continue;
       value = g_strstrip (g_strdup (list->pdata[i + 1]));
-      another |= strcmp (value, "id") != 0;
+      is_other |= strcmp (value, "id") != 0;
     }
-  return another;
+  return is_other;
 }
 
 static void
@@ -345,14 +346,14 @@
   const struct relay_head *h = &a->head;
 
   if (h->status != status || h->version < 0 || h->running < -1)
-    g_error ("a number out of its bounds");
+    g_error ("a number out of its range");
   if (h->genuine && !a->sealed)
-    g_error ("an answer without a seal taken for an endpoint's");
-  if (a->id != NULL && (h->genuine || h->not_run) && is_of_another (list))
-    g_error ("an answer to another taken for ours");
+    g_error ("a reply without a valid seal counts as genuine");
+  if (a->id != NULL && (h->genuine || h->not_run) && is_other_attempt (list))
+    g_error ("a reply to another attempt counts as ours");
   if (h->lines[g_strv_length (h->lines)] != NULL
       || g_strv_length (h->lines) + 1 != a->lines->len)
-    g_error ("lines without an end");
+    g_error ("header list without NULL at its end");
 }
 
 static void
@@ -377,7 +378,7 @@
 static void
 fuzz_headers (const char *data, size_t size)
 {
-  /* The checks of each line go through all headers. */
+  /* Bounded, since the check of each line goes through all headers. */
   g_autoptr (GPtrArray) list = read_headers (data, MIN (size, 512));
 
   fuzz_asked (list);
@@ -392,7 +393,7 @@
 {
   if (f->crash.at_ms <= 0 || f->crash.ran_ms < 0
       || (f->done && f->crash.endpoint != 0))
-    g_error ("a fact out of its bounds");
+    g_error ("a fact out of its range");
 }
 
 static void
@@ -408,7 +409,7 @@
   guint i;
 
   if (quarwire_open ((const uint8_t *)data, size, key, facts))
-    g_error ("a datagram that nobody sealed");
+    g_error ("accepted a datagram without a valid seal");
   quarwire_decode ((const uint8_t *)data, size, facts);
   if (facts->len > QUARWIRE_ROW_MAX)
     g_error ("more facts than a row holds");
@@ -432,9 +433,9 @@
   quar_free (q);
 }
 
-/* --- a whole table with a strange entry ------------------------------ */
+/* --- a table with an invalid entry ----------------------------------- */
 
-#define GOOD_ENTRY                                                            \
+#define VALID_ENTRY                                                           \
   "eyJTZXJ2aWNlIjoiYXBwIiwiQWRkcmVzcyI6IjEwLjAuMC4xOjEiLCJab25lIjoiZCIs"      \
   "IlN0YXRlIjoicmVhZHkiLCJTbG90cyI6OH0="
 
@@ -453,29 +454,29 @@
   return false;
 }
 
-/* Whatever another writer puts between them, the good entries hold. */
+/* Whatever the entry between them contains, the valid entries are read. */
 static void
 fuzz_table (const char *data, size_t size)
 {
-  g_autofree char *coded = g_base64_encode ((const guchar *)data, size);
+  g_autofree char *encoded = g_base64_encode ((const guchar *)data, size);
   g_autofree char *text = g_strdup_printf (
       "{\"Ver\":9,\"Rows\":[{\"Table\":\"servers\",\"Key\":\"a\",\"Ver\":1,"
       "\"Value\":\"%s\"},{\"Table\":\"servers\",\"Key\":\"b\",\"Ver\":2,"
       "\"Value\":\"%s\"},{\"Table\":\"servers\",\"Key\":\"c\",\"Ver\":3,"
       "\"Value\":\"%s\"}],\"HasMore\":false}",
-      GOOD_ENTRY, coded, GOOD_ENTRY);
+      VALID_ENTRY, encoded, VALID_ENTRY);
   struct news news = { 0 };
 
   news.items = g_array_new (FALSE, TRUE, sizeof (struct news_item));
   if (!pdecode_rows (text, strlen (text), &news))
-    g_error ("a table with a strange entry is not read");
+    g_error ("a table with an invalid entry is not read");
   if (!has_endpoint (&news, "a") || !has_endpoint (&news, "c")
       || news.items->len != 3)
-    g_error ("a strange entry takes others away");
+    g_error ("an invalid entry hides valid ones");
   pdecode_clear (&news);
 }
 
-/* What VMs tell each other, and their list. */
+/* Load gossip between VMs, and the list of VMs. */
 static void
 fuzz_vms (const char *data, size_t size)
 {
@@ -487,10 +488,10 @@
   if (tell_decode (data, size, &w))
     {
       if (w.n < 0 || w.n > LOAD_ENTRIES_MAX)
-        g_error ("more entries than there is room for");
+        g_error ("more entries than LOAD_ENTRIES_MAX");
       for (i = 0; i < w.n; i++)
         if (w.entries[i].unread < 0 || w.entries[i].held < 0)
-          g_error ("work that is less than none");
+          g_error ("a negative amount of work");
     }
   pdecode_roster (data, size, list);
 }
--- a/regress/test-wire.c
+++ b/regress/test-wire.c
@@ -1,5 +1,5 @@
 /*
- * Unit tests of what callers and engines send: streams of events and prompts.
+ * Unit tests of the parsers for event streams and completion requests.
  */
 #include <glib.h>
 #include <string.h>
@@ -17,7 +17,8 @@
                           version, i);
 }
 
-/* Whatever the cuts, the same events come out, and none in part. */
+/* However the bytes are split, the same events come out, and only complete
+   ones. */
 static void
 test_stream_cuts (void)
 {
@@ -59,8 +60,8 @@
 }
 
 /*
- * The first attempt broke and a second one took over; then bytes of the first
- * one arrive late.  They carry its number and must not reach the caller.
+ * Bytes of the first attempt arrive after a second one took over.  They carry
+ * the first one's number and must not reach the caller.
  */
 static void
 test_stream_stale (void)
@@ -85,9 +86,9 @@
 }
 
 static void
-test_stream_bad (void)
+test_stream_invalid (void)
 {
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "event: x\n\n",
     "data: {\n\n",
     "data: [1]\n\n",
@@ -99,12 +100,12 @@
   struct strm s;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       strm_init (&s, "v1", 100);
       strm_start_attempt (&s, 1);
-      g_assert_cmpint (strm_feed (&s, 1, bad[i], strlen (bad[i]), out), ==,
-                       STRM_INVALID);
+      g_assert_cmpint (strm_feed (&s, 1, invalid[i], strlen (invalid[i]), out),
+                       ==, STRM_INVALID);
       strm_clear (&s);
     }
   strm_init (&s, "v1", 100);
@@ -119,9 +120,9 @@
 /* --- prompts --------------------------------------------------------- */
 
 static void
-test_prompt_faults (void)
+test_prompt_invalid (void)
 {
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "",
     "{",
     "[]",
@@ -138,16 +139,17 @@
   GError *err;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       err = NULL;
-      g_assert_false (prompt_parse (bad[i], strlen (bad[i]), false, &p, &err));
+      g_assert_false (
+          prompt_parse (invalid[i], strlen (invalid[i]), false, &p, &err));
       g_assert_nonnull (err);
       g_error_free (err);
     }
 }
 
-/* A caller that sets the system's own fields must not get through with it. */
+/* Reserved fields that a caller sets must not reach the engine. */
 static void
 test_prompt_reserved (void)
 {
@@ -167,14 +169,13 @@
   prompt_clear (&p);
 }
 
-/* --- table ----------------------------------------------------------------
- */
+/* --- table ----------------------------------------------------------- */
 
 const struct unit wire_units[] = {
   { "/stream/cuts", test_stream_cuts },
   { "/stream/stale", test_stream_stale },
-  { "/stream/bad", test_stream_bad },
-  { "/prompt/faults", test_prompt_faults },
+  { "/stream/bad", test_stream_invalid },
+  { "/prompt/faults", test_prompt_invalid },
   { "/prompt/reserved", test_prompt_reserved },
   { NULL, NULL },
 };
--- a/regress/test-xfer.c
+++ b/regress/test-xfer.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of transfers over a real connection, whose other end the test
- * plays: when a wait for bytes is over, and what is told then.
+ * Unit tests of transfers over real connections to servers in the test: when a
+ * transfer times out, what it reports then, and which connections are reused.
  */
 #include <glib.h>
 #include <netinet/in.h>
@@ -14,38 +14,38 @@
 #include "xfer.h"
 
 #define HEAD "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n"
-#define LIMIT_MS INT64_C (400) /* for the first byte, or for a further one */
-#define PIECE_US 60000         /* between bytes of a slow reply */
+#define LIMIT_MS INT64_C (400) /* timeout for the first or a further byte */
+#define BYTE_INTERVAL_US 60000 /* between bytes of a slow reply */
 
-#define LATE_US INT64_C (400000)  /* until the first byte of a late reply */
-#define BUSY_US INT64_C (1200000) /* that the loop cannot read it */
+#define LATE_US INT64_C (400000)     /* until the first byte of a late reply */
+#define BLOCKED_US INT64_C (1200000) /* time the loop does not read */
 
-/* What the other end does, and what was told. */
-struct far
+/* What the server does, and how the transfer ended. */
+struct server
 {
   int fd;              /* listening socket */
-  int64_t late_us;     /* time until the first byte */
-  const char *begin;   /* sent then */
-  int more;            /* bytes sent after it, one by one */
+  int64_t late_us;     /* delay before the first byte */
+  const char *head;    /* sent after the delay */
+  int more;            /* number of single bytes sent after it */
   struct loop *loop;   /* of the transfer */
-  struct xfer_end end; /* as told */
+  struct xfer_end end; /* as passed to on_end */
 };
 
-/* The other end: sends what it has, and is silent until we leave. */
+/* Sends the reply, and then nothing until the client closes. */
 static gpointer
-play_far (gpointer arg)
+run_server (gpointer arg)
 {
-  struct far *f = arg;
-  int fd = accept (f->fd, NULL, NULL);
+  struct server *s = arg;
+  int fd = accept (s->fd, NULL, NULL);
   char buf[1024];
   int i;
 
   g_assert_cmpint (read (fd, buf, sizeof buf), >, 0);
-  g_usleep ((gulong)f->late_us);
-  g_assert_cmpint (write (fd, f->begin, strlen (f->begin)), >=, 0);
-  for (i = 0; i < f->more; i++)
+  g_usleep ((gulong)s->late_us);
+  g_assert_cmpint (write (fd, s->head, strlen (s->head)), >=, 0);
+  for (i = 0; i < s->more; i++)
     {
-      g_usleep (PIECE_US);
+      g_usleep (BYTE_INTERVAL_US);
       g_assert_cmpint (write (fd, "x", 1), ==, 1);
     }
   while (read (fd, buf, sizeof buf) > 0)
@@ -57,10 +57,10 @@
 static void
 on_end (void *arg, const struct xfer_end *end)
 {
-  struct far *f = arg;
+  struct server *s = arg;
 
-  f->end = *end;
-  loop_stop (f->loop);
+  s->end = *end;
+  loop_stop (s->loop);
 }
 
 static const struct xfer_events events = { .on_end = on_end };
@@ -80,87 +80,87 @@
   return fd;
 }
 
-/* One transfer from F; returns how long it took, in milliseconds. */
+/* Runs one transfer from S; returns its duration in milliseconds. */
 static int64_t
-transfer (struct far *f, int64_t first_ms, int64_t stall_ms)
+transfer (struct server *s, int64_t first_ms, int64_t stall_ms)
 {
-  struct xfer_opts o = { .method = "GET", .events = &events, .arg = f };
+  struct xfer_opts o = { .method = "GET", .events = &events, .arg = s };
   struct sockaddr_in sa;
   g_autofree char *url = NULL;
   struct xfer_pool *p;
-  int64_t began = loop_now_us ();
+  int64_t start_us = loop_now_us ();
   GThread *t;
 
-  f->fd = listen_at (&sa);
-  if (f->loop == NULL)
-    f->loop = loop_new ();
-  p = xfer_pool_new (f->loop);
-  t = g_thread_new ("far", play_far, f);
+  s->fd = listen_at (&sa);
+  if (s->loop == NULL)
+    s->loop = loop_new ();
+  p = xfer_pool_new (s->loop);
+  t = g_thread_new ("server", run_server, s);
   url = g_strdup_printf ("http://127.0.0.1:%d/", ntohs (sa.sin_port));
   o.url = url;
   o.new_connection = true;
   o.first_byte_timeout_ms = first_ms;
   o.stall_timeout_ms = stall_ms;
   xfer_start (p, &o);
-  loop_run (f->loop);
+  loop_run (s->loop);
   xfer_pool_free (p);
   g_thread_join (t);
-  loop_free (f->loop);
-  close (f->fd);
-  return (loop_now_us () - began) / 1000;
+  loop_free (s->loop);
+  close (s->fd);
+  return (loop_now_us () - start_us) / 1000;
 }
 
 /*
- * The head and part of a reply come at once, and then nothing.  The transfer
- * ends soon after its last byte, and says that it stalled; the time that was
- * left for the first byte, here ten seconds, plays no part any more.
+ * The head and part of a reply arrive at once, and then nothing.  The transfer
+ * ends soon after its last byte, as stalled.  The timeout for the first byte,
+ * here ten seconds, no longer applies.
  */
 static void
 test_stalled (void)
 {
-  struct far f = { .begin = HEAD "xx" };
+  struct server s = { .head = HEAD "xx" };
 
-  g_assert_cmpint (transfer (&f, 10000, LIMIT_MS), <, 5000);
-  g_assert_true (f.end.stalled);
-  g_assert_false (f.end.complete);
-  g_assert_cmpint (f.end.status, ==, 200);
+  g_assert_cmpint (transfer (&s, 10000, LIMIT_MS), <, 5000);
+  g_assert_true (s.end.stalled);
+  g_assert_false (s.end.complete);
+  g_assert_cmpint (s.end.status, ==, 200);
 }
 
-/* Nothing comes at all: over after the time for the first byte, and that is
-   no stall. */
+/* No byte arrives: the transfer ends after the timeout for the first byte, and
+   does not count as stalled. */
 static void
 test_silent (void)
 {
-  struct far f = { .begin = "" };
+  struct server s = { .head = "" };
 
-  g_assert_cmpint (transfer (&f, LIMIT_MS, 10000), <, 5000);
-  g_assert_false (f.end.stalled);
-  g_assert_false (f.end.complete);
-  g_assert_cmpint (f.end.status, ==, 0);
+  g_assert_cmpint (transfer (&s, LIMIT_MS, 10000), <, 5000);
+  g_assert_false (s.end.stalled);
+  g_assert_false (s.end.complete);
+  g_assert_cmpint (s.end.status, ==, 0);
 }
 
-/* A reply comes byte by byte, for three times as long as either limit: it is
-   had whole. */
+/* A reply arrives byte by byte, for three times as long as either timeout: it
+   is complete. */
 static void
 test_slow (void)
 {
-  struct far f = { .begin = HEAD, .more = 20 };
+  struct server s = { .head = HEAD, .more = 20 };
 
-  g_assert_cmpint (transfer (&f, LIMIT_MS, LIMIT_MS), >,
+  g_assert_cmpint (transfer (&s, LIMIT_MS, LIMIT_MS), >,
                    INT64_C (2) * LIMIT_MS);
-  g_assert_true (f.end.complete);
-  g_assert_false (f.end.stalled);
+  g_assert_true (s.end.complete);
+  g_assert_false (s.end.stalled);
 }
 
-/* Another socket of the loop, which takes long. */
+/* Another socket of the loop, whose callback takes long. */
 struct busy
 {
   int fds[2];              /* a pipe */
-  struct loop_timer begin; /* makes it readable */
+  struct loop_timer timer; /* makes the pipe readable */
 };
 
 static void
-on_begin (void *arg, int64_t now_us)
+make_readable (void *arg, int64_t now_us)
 {
   struct busy *b = arg;
 
@@ -169,7 +169,7 @@
 }
 
 static void
-be_busy (void *arg, int fd, bool readable, bool writable)
+block_loop (void *arg, int fd, bool readable, bool writable)
 {
   char byte;
 
@@ -177,48 +177,49 @@
   (void)readable;
   (void)writable;
   g_assert_cmpint (read (fd, &byte, 1), ==, 1);
-  g_usleep ((gulong)BUSY_US);
+  g_usleep ((gulong)BLOCKED_US);
 }
 
 /*
- * The VM decodes a large answer for a second.  Meanwhile the reply to another
- * call comes, in time; it is only read late, and must not count as silence.
+ * The loop's thread decodes a large reply for a second.  The reply to another
+ * call arrives meanwhile, in time, but is read late.  It must not time out.
  */
 static void
 test_busy (void)
 {
-  struct far f = { .begin = HEAD "12345678901234567890", .late_us = LATE_US };
-  struct busy b = { .begin = { .fire = on_begin } };
+  struct server s
+      = { .head = HEAD "12345678901234567890", .late_us = LATE_US };
+  struct busy b = { .timer = { .fire = make_readable } };
   struct loop_fd *fd;
 
   g_assert_cmpint (pipe (b.fds), ==, 0);
-  b.begin.arg = &b;
-  f.loop = loop_new ();
-  fd = loop_add_fd (f.loop, b.fds[0], be_busy, &b);
-  loop_watch (f.loop, fd, true, false);
-  loop_arm (f.loop, &b.begin, loop_now_us () + LATE_US / 2);
-  g_assert_cmpint (transfer (&f, 2 * LATE_US / 1000, LIMIT_MS), >=,
-                   BUSY_US / 1000);
-  g_assert_true (f.end.complete);
+  b.timer.arg = &b;
+  s.loop = loop_new ();
+  fd = loop_add_fd (s.loop, b.fds[0], block_loop, &b);
+  loop_watch (s.loop, fd, true, false);
+  loop_arm (s.loop, &b.timer, loop_now_us () + LATE_US / 2);
+  g_assert_cmpint (transfer (&s, 2 * LATE_US / 1000, LIMIT_MS), >=,
+                   BLOCKED_US / 1000);
+  g_assert_true (s.end.complete);
   close (b.fds[0]);
   close (b.fds[1]);
 }
 
-/* --- kept connections ------------------------------------------------ */
+/* --- idle connections ------------------------------------------------ */
 
-#define PEERS 100 /* other ends, more than libcurl keeps by itself */
-#define ROUNDS 3  /* calls to each */
+#define PEERS 100 /* more connections than libcurl keeps by default */
+#define ROUNDS 3  /* calls to each server */
 
-/* Other ends that answer each request, on connections that stay open. */
+/* Servers that answer each request, on connections that stay open. */
 struct peers
 {
   struct pollfd fds[2 * PEERS]; /* listening sockets, then connections */
   struct loop *loop;            /* of the transfers */
-  struct xfer_pool *pool;       /* likewise */
+  struct xfer_pool *pool;       /* of the transfers */
   int ports[PEERS];             /* of the listening sockets */
-  int accepted;                 /* connections so far */
-  int left;                     /* transfers of this round */
-  gint stop;                    /* the thread is to end; atomic */
+  int accepted;                 /* connections accepted so far */
+  int left;                     /* unfinished transfers of this round */
+  gint stop;                    /* tells the thread to end; atomic */
 };
 
 static void
@@ -248,7 +249,7 @@
 }
 
 static gpointer
-play_peers (gpointer arg)
+run_peers (gpointer arg)
 {
   struct peers *ps = arg;
   int i;
@@ -293,9 +294,9 @@
   loop_run (ps->loop);
 }
 
-/* Guards against a new connection for each poll where stores are many. */
+/* Guards against a new connection for each poll when there are many stores. */
 static void
-test_many_kept (void)
+test_many_peers (void)
 {
   struct peers *ps = g_new0 (struct peers, 1);
   struct sockaddr_in sa;
@@ -310,7 +311,7 @@
     }
   ps->loop = loop_new ();
   ps->pool = xfer_pool_new (ps->loop);
-  t = g_thread_new ("peers", play_peers, ps);
+  t = g_thread_new ("peers", run_peers, ps);
   for (i = 0; i < ROUNDS; i++)
     call_peers (ps);
   g_atomic_int_set (&ps->stop, 1);
@@ -322,7 +323,10 @@
 }
 
 const struct unit xfer_units[] = {
-  { "/xfer/stalled", test_stalled },     { "/xfer/silent", test_silent },
-  { "/xfer/slow", test_slow },           { "/xfer/busy", test_busy },
-  { "/xfer/many-kept", test_many_kept }, { NULL, NULL },
+  { "/xfer/stalled", test_stalled },
+  { "/xfer/silent", test_silent },
+  { "/xfer/slow", test_slow },
+  { "/xfer/busy", test_busy },
+  { "/xfer/many-kept", test_many_peers },
+  { NULL, NULL },
 };
--- a/wire.h
+++ b/wire.h
@@ -21,7 +21,7 @@
   WIRE_ERROR_STREAM /* not a stream of events */
 };
 
-#define WIRE_BYTES_PER_TOKEN 4      /* estimate for prompts */
+#define WIRE_BYTES_PER_TOKEN 4      /* estimate until an engine counts */
 #define WIRE_VERSION_SIZE 40        /* buffer of a weight version's name */
 #define WIRE_EVENT_MAX_BYTES 262144 /* of one event */
 
