--- a/attempt.c
+++ b/attempt.c
@@ -14,14 +14,14 @@
   struct prompt_extra extra = { .urgent = j->urgent };
 
   extra.cache_salt = j->cache_salt;
-  extra.import = kvcache_import_order (j);
+  extra.kv_import = kvcache_import_order (j);
   extra.max_tokens = j->max_tokens;
   if (j->stream_begun)
     {
       extra.resume_text = j->strm.text->str;
       extra.resume_offset = j->strm.tokens;
     }
-  j->send_body = prompt_write (&j->prompt, &extra);
+  j->send_body = prompt_to_json (&j->prompt, &extra);
   g_strv_builder_add (headers, "Content-Type: application/json");
 }
 
@@ -129,7 +129,7 @@
 record_first_chunk (struct job *j)
 {
   if (j->cached_tokens < 0)
-    j->cached_tokens = j->strm.cached;
+    j->cached_tokens = j->strm.cached_tokens;
   kvcache_import_end (j, j->cached_tokens);
   if (j->first_chunk_us != 0)
     return;
@@ -145,9 +145,9 @@
     case STRM_MORE:
     case STRM_DONE:
       return NULL;
-    case STRM_VERSION:
+    case STRM_WRONG_VERSION:
       return "wrong_version";
-    case STRM_BAD:
+    case STRM_INVALID:
       return "bad_stream";
     case STRM_STALE:
       return "stale_stream";
@@ -156,15 +156,15 @@
 }
 
 /* Forwards complete events; the first one starts the reply to the caller. */
-static enum xfer_take
+static enum xfer_body_result
 relay_stream (struct job *j, const char *data, size_t len)
 {
   g_autoptr (GString) events = g_string_new (NULL);
   int64_t before = j->strm.tokens;
   enum strm_code code;
 
-  if (j->strm.done)
-    return XFER_TAKEN;
+  if (j->strm.ended)
+    return XFER_CONTINUE;
   /* A caller that reads more slowly than the engine writes must not make the
      buffer grow without bound. */
   if (j->caller->stream_pending (j->caller_arg) > stream_buffer_bytes (j))
@@ -182,10 +182,10 @@
       met_add (MET_TOKENS, j->strm.tokens - before);
     }
   j->stop_reason = stream_error (code);
-  return j->stop_reason == NULL ? XFER_TAKEN : XFER_STOP;
+  return j->stop_reason == NULL ? XFER_CONTINUE : XFER_STOP;
 }
 
-static enum xfer_take
+static enum xfer_body_result
 append_answer (struct job *j, const char *data, size_t len)
 {
   size_t max
@@ -197,10 +197,10 @@
       return XFER_STOP;
     }
   g_string_append_len (j->answer, data, (gssize)len);
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
-static enum xfer_take
+static enum xfer_body_result
 on_body (void *arg, int status, const char *data, size_t len)
 {
   struct job *j = arg;
@@ -220,12 +220,12 @@
 static bool
 is_version_expected (struct job *j)
 {
-  char version[WIRE_VERSION_MAX];
+  char version[WIRE_VERSION_SIZE];
 
   if (!j->is_model || j->streaming || j->status != 200)
     return true;
-  if (!answer_version (j->answer->str, j->answer->len, version, sizeof version,
-                       &j->cached_tokens))
+  if (!completion_version (j->answer->str, j->answer->len, version,
+                           sizeof version, &j->cached_tokens))
     return false;
   return strcmp (version, j->service_cfg->version) == 0;
 }
@@ -237,9 +237,9 @@
     return SEND_NONE;
   if (end->status == 0)
     return SEND_PARTIAL;
-  if (end->whole && is_refusal_status (j, end->status))
+  if (end->complete && is_refusal_status (j, end->status))
     return SEND_REFUSED;
-  if (!end->whole || (j->streaming && !j->strm.done)
+  if (!end->complete || (j->streaming && !j->strm.ended)
       || !is_version_expected (j))
     return SEND_REPLIED;
   return SEND_COMPLETE;
@@ -399,7 +399,7 @@
     j->answer = g_string_new (NULL);
   g_string_truncate (j->answer, 0);
   if (j->is_model)
-    strm_attempt (&j->strm, j->attempts);
+    strm_start_attempt (&j->strm, j->attempts);
   build_request (j);
   j->attempt_started_us = loop_now_us ();
   j->progress_us = j->attempt_started_us;
--- a/httpserver.c
+++ b/httpserver.c
@@ -523,7 +523,7 @@
   info = MHD_get_daemon_info (l->daemon, MHD_DAEMON_INFO_EPOLL_FD);
   l->fd = loop_add_fd (w->loop, info->epoll_fd, on_daemon_ready, l);
   loop_watch (w->loop, l->fd, true, false);
-  l->hook.turn = run_daemon;
+  l->hook.run = run_daemon;
   l->hook.timeout_us = daemon_timeout_us;
   l->hook.arg = l;
   loop_add_hook (w->loop, &l->hook);
--- a/kvexport.c
+++ b/kvexport.c
@@ -149,7 +149,7 @@
   g_free (o);
 }
 
-static enum xfer_take
+static enum xfer_body_result
 append_reply (void *arg, int status, const char *data, size_t len)
 {
   struct export_call *o = arg;
@@ -158,7 +158,7 @@
   if (o->reply->len + len > EXPORT_REPLY_MAX_BYTES)
     return XFER_STOP;
   g_string_append_len (o->reply, data, (gssize)len);
-  return XFER_TAKEN;
+  return XFER_CONTINUE;
 }
 
 /* Number of leading segments that the engine reports as sealed (complete). */
@@ -169,7 +169,7 @@
   json_t *doc = json_loadb (o->reply->str, o->reply->len, 0, NULL);
   int n = 0;
 
-  if (end->whole && end->status == 200)
+  if (end->complete && end->status == 200)
     {
       n = (int)json_integer_value (json_object_get (doc, "sealed"));
       *moving_us = json_integer_value (json_object_get (doc, "moving_us"));
--- a/tableclient.c
+++ b/tableclient.c
@@ -139,7 +139,7 @@
   o.body = body;
   o.body_len = body != NULL ? strlen (body) : 0;
   o.timeout_ms = t->timeout_ms;
-  o.reply_max = REPLY_MAX_BYTES;
+  o.reply_max_bytes = REPLY_MAX_BYTES;
   o.done = on_reply;
   o.arg = c;
   met_add (MET_TABLE_CALLS, 1);
