--- a/api.c
+++ b/api.c
@@ -183,7 +183,8 @@
   enum cfg_group_id group
       = r->route->auth == KEY_OPERATOR ? CFG_OPERATOR : CFG_WORKSPACE;
   const char *secret = NULL;
-  g_autofree char *name = auth_name (req_header (r, "Authorization"), &secret);
+  g_autofree char *name
+      = auth_parse_bearer (req_header (r, "Authorization"), &secret);
   char *const *hashes;
   int i;
 
--- a/auth.c
+++ b/auth.c
@@ -72,7 +72,7 @@
 
 /* Name in the header value "Bearer NAME.SECRET"; NULL if it is not one. */
 char *
-auth_name (const char *bearer, const char **secret)
+auth_parse_bearer (const char *bearer, const char **secret)
 {
   static const char scheme[] = "Bearer ";
   const char *key, *dot;
--- a/ctl.c
+++ b/ctl.c
@@ -163,7 +163,7 @@
 ask (const struct ctl_options *o, const struct verb *v)
 {
   g_autofree char *target
-      = o->nwords > 1 ? g_uri_escape_string (o->words[1], NULL, FALSE) : NULL;
+      = o->nargs > 1 ? g_uri_escape_string (o->args[1], NULL, FALSE) : NULL;
   g_auto (GStrv) parts = g_strsplit (v->path, "%s", 2);
   g_autofree char *path = g_strjoinv (target ? target : "", parts);
   g_autoptr (GString) text = g_string_new (NULL);
@@ -172,7 +172,7 @@
   int code = EXIT_CODE_OK;
 
   if (status != 200)
-    code = ctl_refused (o, status, reply);
+    code = ctl_report_error (o, status, reply);
   else if (o->json)
     printf ("%s\n", text->str);
   else
@@ -184,7 +184,7 @@
 static int
 run_verb (const struct ctl_options *o, const struct verb *v)
 {
-  g_autofree char *key = ctl_key (o);
+  g_autofree char *key = ctl_read_key (o);
 
   if (key == NULL)
     {
@@ -216,8 +216,8 @@
 {
   size_t i;
 
-  for (i = 0; i < NVERBS && o->nwords > 0; i++)
-    if (strcmp (verbs[i].name, o->words[0]) == 0)
+  for (i = 0; i < NVERBS && o->nargs > 0; i++)
+    if (strcmp (verbs[i].name, o->args[0]) == 0)
       return &verbs[i];
   return NULL;
 }
@@ -227,11 +227,11 @@
 {
   const struct verb *v = find_verb (o);
 
-  if (o->nwords == 0)
+  if (o->nargs == 0)
     argp_error (state, "a command is required");
   else if (v == NULL)
-    argp_error (state, "unknown command: %s", o->words[0]);
-  else if (o->nwords - 1 != v->nargs)
+    argp_error (state, "unknown command: %s", o->args[0]);
+  else if (o->nargs - 1 != v->nargs)
     argp_error (state, "%s takes %d argument%s", v->name, v->nargs,
                 v->nargs == 1 ? "" : "s");
   if (o->address == NULL)
@@ -261,9 +261,9 @@
       o->whole_file = true;
       return 0;
     case ARGP_KEY_ARG:
-      if (o->nwords == 3)
+      if (o->nargs == 3)
         argp_error (state, "unexpected argument: %s", arg);
-      o->words[o->nwords++] = arg;
+      o->args[o->nargs++] = arg;
       return 0;
     case ARGP_KEY_END:
       check_words (state, o);
--- a/ctl.h
+++ b/ctl.h
@@ -16,20 +16,20 @@
   bool json;            /* print the reply as it came */
   bool whole_file;      /* a change conflicts with any other */
   int wait_s;           /* seconds to wait until a change is in force */
-  char *words[3];       /* command and its arguments */
-  int nwords;           /* their number */
+  char *args[3];        /* command and its arguments */
+  int nargs;            /* their number */
 };
 
 /* The operator's key, or NULL; freed by the caller. */
-char *ctl_key (const struct ctl_options *o);
+char *ctl_read_key (const struct ctl_options *o);
 
 /* Ask the VM; HTTP status, 0 if it does not answer.  Free the reply. */
 long ctl_call (const struct ctl_options *o, const char *method,
                const char *path, const char *body, GString *reply);
 
 /* Say why a call was refused; an exit code. */
-int ctl_refused (const struct ctl_options *o, long status,
-                 const json_t *reply);
+int ctl_report_error (const struct ctl_options *o, long status,
+                      const json_t *reply);
 
 /* Changes of settings (ctlconf.c); each returns an exit code. */
 int ctl_apply (const struct ctl_options *o);
--- a/ctlcall.c
+++ b/ctlcall.c
@@ -17,7 +17,7 @@
 }
 
 char *
-ctl_key (const struct ctl_options *o)
+ctl_read_key (const struct ctl_options *o)
 {
   const char *env = g_getenv (CTL_KEY_VARIABLE);
   char *key = NULL;
@@ -34,7 +34,7 @@
           const char *body, GString *reply)
 {
   g_autofree char *url = g_strdup_printf ("http://%s%s", o->address, path);
-  g_autofree char *key = ctl_key (o);
+  g_autofree char *key = ctl_read_key (o);
   g_autofree char *auth = g_strdup_printf ("Authorization: Bearer %s", key);
   struct curl_slist *headers = curl_slist_append (NULL, auth);
   CURL *c = curl_easy_init ();
@@ -56,7 +56,8 @@
 }
 
 int
-ctl_refused (const struct ctl_options *o, long status, const json_t *reply)
+ctl_report_error (const struct ctl_options *o, long status,
+                  const json_t *reply)
 {
   const json_t *error = json_object_get (reply, "error");
   const char *message = json_string_value (json_object_get (error, "message"));
--- a/ctlconf.c
+++ b/ctlconf.c
@@ -25,7 +25,7 @@
 
   if (status == 200 && doc != NULL)
     return doc;
-  *code = ctl_refused (o, status, doc);
+  *code = ctl_report_error (o, status, doc);
   json_decref (doc);
   return NULL;
 }
@@ -240,7 +240,7 @@
 int
 ctl_apply (const struct ctl_options *o)
 {
-  json_t *sets = read_sets (o->words[1]);
+  json_t *sets = read_sets (o->args[1]);
   g_autoptr (GString) reply = g_string_new (NULL);
   g_autofree char *body = NULL;
   int code = EXIT_CODE_FAILED;
@@ -262,7 +262,7 @@
   doc = json_loadb (reply->str, reply->len, 0, NULL);
   revision = int_of (doc, "revision");
   if (status != 200)
-    code = ctl_refused (o, status, doc);
+    code = ctl_report_error (o, status, doc);
   json_decref (doc);
   if (status != 200)
     return code;
@@ -300,7 +300,7 @@
 int
 ctl_diff (const struct ctl_options *o)
 {
-  json_t *sets = read_sets (o->words[1]);
+  json_t *sets = read_sets (o->args[1]);
   g_autoptr (GString) shown = g_string_new (NULL);
   const json_t *set;
   long status;
@@ -312,7 +312,7 @@
   if (status != 200)
     {
       json_decref (sets);
-      return ctl_refused (o, status, NULL);
+      return ctl_report_error (o, status, NULL);
     }
   json_array_foreach (sets, i, set)
   {
@@ -386,7 +386,7 @@
   long status = ctl_call (o, "GET", "/admin/v1/settings", NULL, shown);
 
   if (status != 200)
-    return ctl_refused (o, status, NULL);
+    return ctl_report_error (o, status, NULL);
   fputs (shown->str, stdout);
   return EXIT_CODE_OK;
 }
--- a/follow.c
+++ b/follow.c
@@ -398,7 +398,7 @@
     }
   if (first == NULL)
     return;
-  met_add (MET_ROWS_SPOILED, count);
+  met_add (MET_ROWS_INVALID, count);
   log_event (
       LOG_LEVEL_WARNING, "rows_left_out",
       "source=%s rows=%d of=%u first=%s reason=%s row=%" G_GINT64_FORMAT,
@@ -458,7 +458,7 @@
                  "outcome=older_copy era=%" G_GINT64_FORMAT
                  " before=%" G_GINT64_FORMAT,
                  (gint64)era, (gint64)f->era);
-      met_add (MET_OLDER_COPIES, 1);
+      met_add (MET_STORE_RESTORES, 1);
       f->nmarks = 0;
       f->opts.fleet->conf_row = 0;
       fleet_list_back (f->opts.fleet, now_us);
--- a/job.c
+++ b/job.c
@@ -239,7 +239,7 @@
 
   met_add (ids[outcome], 1);
   if (outcome == OUT_ANSWERED)
-    met_observe (MET_WHOLE_TIME, now_us - j->arrived_us);
+    met_observe (MET_TOTAL_TIME, now_us - j->arrived_us);
 }
 
 static void
--- a/libserver.h
+++ b/libserver.h
@@ -305,7 +305,7 @@
 /* --- keys (auth.c) --------------------------------------------------- */
 
 bool auth_matches (char *const *hashes, const char *secret);
-char *auth_name (const char *bearer, const char **secret);
+char *auth_parse_bearer (const char *bearer, const char **secret);
 
 /* --- who asks for a job ---------------------------------------------- */
 
--- a/log.c
+++ b/log.c
@@ -87,7 +87,7 @@
 static const log4c_layout_type_t line_layout = { "cq_line", format_line };
 
 int64_t
-log_lost (void)
+log_lost_lines (void)
 {
   return __atomic_load_n (&lost, __ATOMIC_RELAXED);
 }
@@ -177,7 +177,7 @@
     log4c_category_log (category, priorities[LOG_LEVEL_WARNING],
                         "time=%s level=warning %s event=log_dropped "
                         "lines=%d unread=%d\n",
-                        when, identity, dropped, (int)log_lost ());
+                        when, identity, dropped, (int)log_lost_lines ());
   if (!within && level <= LOG_LEVEL_INFO)
     return;
   g_vsnprintf (pairs, sizeof pairs, fmt, ap);
--- a/log.h
+++ b/log.h
@@ -22,7 +22,7 @@
 void log_open (const char *vm, const char *domain, enum log_level least,
                int max_lines_s);
 /* Lines that nobody read in time. */
-int64_t log_lost (void);
+int64_t log_lost_lines (void);
 void log_close (void);
 
 /* Write "event=EVENT" and the pairs formatted by FMT. */
--- a/met.c
+++ b/met.c
@@ -47,35 +47,39 @@
                           "Prompt tokens expected in accelerator memory." },
   [MET_PROMPT_TOKENS] = { "camphorquay_prompt_tokens_total", "counter",
                           "Prompt tokens sent to endpoints." },
-  [MET_ROWS_SPOILED] = { "camphorquay_rows_spoiled_total", "counter",
+  [MET_ROWS_INVALID] = { "camphorquay_rows_spoiled_total", "counter",
                          "Rows of the platform that could not be used." },
-  [MET_LOADS_TOLD] = { "camphorquay_loads_told_total", "counter",
+  [MET_LOADS_SENT] = { "camphorquay_loads_told_total", "counter",
                        "Words about this VM's work, told to a VM each." },
-  [MET_LOADS_HEARD] = { "camphorquay_loads_heard_total", "counter",
-                        "Words of other VMs about their work." },
-  [MET_LOADS_UNREAD] = { "camphorquay_loads_unread_total", "counter",
-                         "Datagrams that are no such word." },
-  [MET_HELD] = { "camphorquay_quarantined_total", "counter",
-                 "Requests refused since endpoints end under them." },
+  [MET_LOADS_RECEIVED] = { "camphorquay_loads_heard_total", "counter",
+                           "Words of other VMs about their work." },
+  [MET_LOADS_INVALID] = { "camphorquay_loads_unread_total", "counter",
+                          "Datagrams that are no such word." },
+  [MET_QUARANTINED] = { "camphorquay_quarantined_total", "counter",
+                        "Requests refused since endpoints end under them." },
   [MET_DEFERRED]
   = { "camphorquay_deferred_total", "counter",
       "Requests refused for now, since one like it runs and may crash its "
       "endpoint." },
-  [MET_COLD] = { "camphorquay_refused_cold_total", "counter",
-                 "Requests refused since the endpoints left are cold." },
-  [MET_LIMITED] = { "camphorquay_refused_limited_total", "counter",
-                    "Requests refused since the limits of the endpoints left "
-                    "are used." },
-  [MET_RESTING] = { "camphorquay_refused_resting_total", "counter",
-                    "Requests refused since the endpoints left asked for "
-                    "rest." },
-  [MET_EVACUATED]
+  [MET_REFUSED_COLD]
+  = { "camphorquay_refused_cold_total", "counter",
+      "Requests refused since the endpoints left are cold." },
+  [MET_REFUSED_LIMITED]
+  = { "camphorquay_refused_limited_total", "counter",
+      "Requests refused since the limits of the endpoints left "
+      "are used." },
+  [MET_REFUSED_BACKOFF]
+  = { "camphorquay_refused_resting_total", "counter",
+      "Requests refused since the endpoints left asked for "
+      "rest." },
+  [MET_REFUSED_EVACUATED]
   = { "camphorquay_refused_evacuated_total", "counter",
       "Requests refused since the domains left are evacuated." },
-  [MET_ABROAD] = { "camphorquay_refused_no_home_total", "counter",
-                   "Requests refused since no endpoint left is in a region "
-                   "that they may use." },
-  [MET_OLDER_COPIES]
+  [MET_REFUSED_REGION]
+  = { "camphorquay_refused_no_home_total", "counter",
+      "Requests refused since no endpoint left is in a region "
+      "that they may use." },
+  [MET_STORE_RESTORES]
   = { "camphorquay_older_copies_total", "counter",
       "Times that the platform's store came back from an older copy." },
   [MET_RUNNING]
@@ -87,11 +91,11 @@
                          "Bytes of streams that callers have not taken." },
 };
 
-static const struct metric histograms[MET_HISTOGRAMS] = {
+static const struct metric histograms[MET_HISTOGRAM_COUNT] = {
   [MET_FIRST_TOKEN]
   = { "camphorquay_first_token_seconds", "histogram",
       "Time from a request's last byte to its first token." },
-  [MET_WHOLE_TIME] = { "camphorquay_whole_seconds", "histogram",
+  [MET_TOTAL_TIME] = { "camphorquay_whole_seconds", "histogram",
                        "Time from a request's last byte to its end." },
   [MET_QUEUE_TIME] = { "camphorquay_queue_seconds", "histogram",
                        "Time a request waited for a place." },
@@ -109,8 +113,8 @@
 #define BUCKETS (G_N_ELEMENTS (bounds) + 1)
 
 static int64_t values[MET_COUNT];
-static int64_t buckets[MET_HISTOGRAMS][BUCKETS];
-static int64_t sums_us[MET_HISTOGRAMS];
+static int64_t buckets[MET_HISTOGRAM_COUNT][BUCKETS];
+static int64_t sums_us[MET_HISTOGRAM_COUNT];
 
 void
 met_add (enum met_id id, int64_t n)
@@ -177,6 +181,6 @@
       g_string_append_printf (to, "%s %" PRId64 "\n", metrics[i].name,
                               met_get (i));
     }
-  for (i = 0; i < MET_HISTOGRAMS; i++)
+  for (i = 0; i < MET_HISTOGRAM_COUNT; i++)
     print_histogram (to, i);
 }
--- a/quarfeed.c
+++ b/quarfeed.c
@@ -152,7 +152,7 @@
     return false;
   if (!f->has_key || f->stopped
       || !quarwire_open ((const uint8_t *)data, len, f->key, facts))
-    met_add (MET_LOADS_UNREAD, 1);
+    met_add (MET_LOADS_INVALID, 1);
   else
     take_facts (f, facts, false, "datagram", now_us);
   return true;
@@ -315,7 +315,7 @@
     return;
   if (!quarwire_decode (row->value->data, row->value->len, facts))
     {
-      met_add (MET_ROWS_SPOILED, 1);
+      met_add (MET_ROWS_INVALID, 1);
       log_event (LOG_LEVEL_WARNING, "evidence",
                  "source=table outcome=unreadable row=%s", row->key);
       return;
--- a/relay.c
+++ b/relay.c
@@ -133,7 +133,7 @@
   met_add (ids[outcome], 1);
   met_add (MET_RUNNING, -1);
   if (outcome == OUT_ANSWERED)
-    met_observe (MET_WHOLE_TIME, now_us - r->arrived_us);
+    met_observe (MET_TOTAL_TIME, now_us - r->arrived_us);
   log_event (LOG_LEVEL_INFO, "finish",
              "req=%s route=%s outcome=%s reason=%s status=%d attempts=%d "
              "unsent=%d handed_us=%" G_GINT64_FORMAT
--- a/relayquar.c
+++ b/relayquar.c
@@ -92,7 +92,7 @@
              "left_ms=%" G_GINT64_FORMAT,
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
              v.crashes, v.chance, (gint64)(v.held ? v.until_ms - now_ms : 0));
-  met_add (MET_HELD, hold == HOLD_CRASHES);
+  met_add (MET_QUARANTINED, hold == HOLD_CRASHES);
   met_add (MET_DEFERRED, hold == HOLD_TURN);
   return hold;
 }
--- a/relaytry.c
+++ b/relaytry.c
@@ -618,15 +618,15 @@
 count_unplaced (enum pick_code code)
 {
   if (code == PICK_COLD)
-    met_add (MET_COLD, 1);
+    met_add (MET_REFUSED_COLD, 1);
   else if (code == PICK_LIMITED)
-    met_add (MET_LIMITED, 1);
+    met_add (MET_REFUSED_LIMITED, 1);
   else if (code == PICK_RESTING)
-    met_add (MET_RESTING, 1);
+    met_add (MET_REFUSED_BACKOFF, 1);
   else if (code == PICK_EVACUATED)
-    met_add (MET_EVACUATED, 1);
+    met_add (MET_REFUSED_EVACUATED, 1);
   else if (code == PICK_ABROAD)
-    met_add (MET_ABROAD, 1);
+    met_add (MET_REFUSED_REGION, 1);
 }
 
 /* Find an endpoint for the next attempt, or give up. */
--- a/tell.c
+++ b/tell.c
@@ -248,7 +248,7 @@
       apr_socket_sendto (t->sock, l->to, 0, (const char *)bytes->data, &len);
       sent++;
     }
-  met_add (MET_LOADS_TOLD, sent);
+  met_add (MET_LOADS_SENT, sent);
 }
 
 void
@@ -300,12 +300,12 @@
   if (!tell_decode (data, len, &w) || strcmp (w.vm, t->self.vm) == 0
       || apr_sockaddr_ip_get (&ip, (apr_sockaddr_t *)from) != APR_SUCCESS)
     {
-      met_add (MET_LOADS_UNREAD, 1);
+      met_add (MET_LOADS_INVALID, 1);
       return;
     }
   if (!load_take (t->opts.book, &w, now_us))
     return;
-  met_add (MET_LOADS_HEARD, 1);
+  met_add (MET_LOADS_RECEIVED, 1);
   l = find (t, w.vm);
   if (l == NULL)
     {
