--- a/auth.c
+++ b/auth.c
@@ -1,10 +1,10 @@
 /*
  * Keys of workspaces and operators.
  *
- * A key is NAME.SECRET; the settings hold only SALT:HASH of the secret.  The
- * secret is 32 random bytes, so a fast keyed hash is enough: there is no
- * dictionary to try.  The name makes the look-up one step; the comparison
- * takes the same time however much of a guess is right.
+ * A key has the form NAME.SECRET; the settings hold only SALT:HASH of the
+ * secret.  The secret is 32 random bytes, so a dictionary attack is not
+ * possible and a fast keyed hash is enough.  The name allows a direct look-up
+ * of the owner.  Hashes are compared in constant time.
  */
 #include "libserver.h"
 
@@ -43,21 +43,22 @@
 }
 
 static bool
-one_matches (const char *entry, const char *secret)
+hash_matches (const char *entry, const char *secret)
 {
   uint8_t salt[SALT_BYTES];
-  uint8_t want[HASH_BYTES];
-  uint8_t have[HASH_BYTES];
+  uint8_t expected[HASH_BYTES];
+  uint8_t actual[HASH_BYTES];
   const char *end;
 
   sodium_hex2bin (salt, sizeof salt, entry, strlen (entry), NULL, NULL, &end);
-  sodium_hex2bin (want, sizeof want, end + 1, strlen (end + 1), NULL, NULL,
-                  NULL);
-  hash_secret (salt, secret, have);
-  return sodium_memcmp (want, have, HASH_BYTES) == 0;
+  sodium_hex2bin (expected, sizeof expected, end + 1, strlen (end + 1), NULL,
+                  NULL, NULL);
+  hash_secret (salt, secret, actual);
+  return sodium_memcmp (expected, actual, HASH_BYTES) == 0;
 }
 
-/* Whether SECRET belongs to one of HASHES; all are tried, for equal time. */
+/* Whether SECRET matches one of HASHES.  All are tried, so that the time does
+   not depend on which one matches. */
 bool
 auth_matches (char *const *hashes, const char *secret)
 {
@@ -65,12 +66,14 @@
   int i;
 
   for (i = 0; hashes != NULL && hashes[i] != NULL; i++)
-    if (one_matches (hashes[i], secret))
+    if (hash_matches (hashes[i], secret))
       found = true;
   return found;
 }
 
-/* Name in the header value "Bearer NAME.SECRET"; NULL if it is not one. */
+/* Parse the header value "Bearer NAME.SECRET".  Returns the name, which the
+   caller frees, or NULL if the value has another form.  *SECRET points into
+   BEARER. */
 char *
 auth_parse_bearer (const char *bearer, const char **secret)
 {
--- a/log.c
+++ b/log.c
@@ -12,24 +12,24 @@
 #include <unistd.h>
 
 #define CATEGORY "camphorquay"
-#define LINE_MAX_LEN                                                          \
-  2048 /* of the pairs; with the identity under PIPE_BUF                      \
-        */
+/* Buffer size for the pairs of a line; together with the identity a line
+   stays below PIPE_BUF. */
+#define PAIRS_SIZE 2048
 #define US_PER_S INT64_C (1000000)
 
-/* Lines of one second; guarded by the lock. */
+/* Number of lines in the current second; guarded by lock. */
 struct window
 {
-  int64_t second; /* which */
-  int lines;      /* written in it */
-  int dropped;    /* over the bound */
+  int64_t second; /* monotonic time in seconds */
+  int lines;      /* lines within the limit */
+  int dropped;    /* lines over the limit */
 };
 
-/* Identity that every line carries; set once before the threads start. */
+/* VM and domain, for every line; set once before the threads start. */
 static char identity[160];
 static log4c_category_t *category;
-static int lines_s;  /* bound on lines a second, 0 for none */
-static int64_t lost; /* lines that a full pipe did not take; atomic */
+static int max_lines_per_s; /* limit on lines per second, 0 for none */
+static int64_t lost_lines;  /* lines that could not be written; atomic */
 static GMutex lock;
 static struct window window;
 
@@ -47,7 +47,7 @@
   [LOG_LEVEL_ERROR] = "error",
 };
 
-/* The message is already a whole line. */
+/* The message is already a complete line. */
 static const char *
 format_line (const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
@@ -56,9 +56,9 @@
 }
 
 /*
- * A reader of the log that stops reading must stop no request.  A pipe that
- * polls as writable takes PIPE_BUF bytes at once, and no line is longer; one
- * that is full loses the line, which is counted.
+ * Requests must go on even if the reader of the log stops reading.  A pipe
+ * that polls as writable takes PIPE_BUF bytes without blocking, and no line is
+ * longer.  If the pipe is full, the line is lost and counted.
  */
 static bool
 can_write (void)
@@ -68,7 +68,8 @@
   return poll (&p, 1, 0) == 1 && (p.revents & POLLOUT) != 0;
 }
 
-/* log4c's own stream appender puts its name before each line, and blocks. */
+/* Replaces log4c's stream appender, which writes its name before each line and
+   blocks when the pipe is full. */
 static int
 append_line (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
@@ -77,7 +78,7 @@
 
   (void)appender;
   if (!can_write () || write (STDOUT_FILENO, line, len) != (ssize_t)len)
-    __atomic_fetch_add (&lost, 1, __ATOMIC_RELAXED);
+    __atomic_fetch_add (&lost_lines, 1, __ATOMIC_RELAXED);
   return 0;
 }
 
@@ -89,7 +90,7 @@
 int64_t
 log_lost_lines (void)
 {
-  return __atomic_load_n (&lost, __ATOMIC_RELAXED);
+  return __atomic_load_n (&lost_lines, __ATOMIC_RELAXED);
 }
 
 void
@@ -99,7 +100,7 @@
   log4c_appender_t *appender;
   log4c_layout_t *layout;
 
-  lines_s = max_lines_s;
+  max_lines_per_s = max_lines_s;
   g_snprintf (identity, sizeof identity, "vm=%s domain=%s", vm, domain);
   log4c_init ();
   log4c_layout_type_set (&line_layout);
@@ -121,10 +122,11 @@
   log4c_fini ();
 }
 
-/* Count a line of this second; how many the last second dropped is told once
-   in *DROPPED.  False if it is over the bound. */
+/* Count a line in SECOND; false if it is over the limit.  The first call in a
+   new second sets *DROPPED to the number of lines over the limit in the
+   previous window, later calls set it to 0. */
 static bool
-within_bound (int64_t second, int *dropped)
+is_within_limit (int64_t second, int *dropped)
 {
   bool within;
 
@@ -135,7 +137,7 @@
       *dropped = window.dropped;
       window = (struct window){ .second = second };
     }
-  within = lines_s == 0 || window.lines < lines_s;
+  within = max_lines_per_s == 0 || window.lines < max_lines_per_s;
   if (within)
     window.lines++;
   else
@@ -162,16 +164,16 @@
              va_list ap)
 {
   char when[48];
-  char pairs[LINE_MAX_LEN];
+  char pairs[PAIRS_SIZE];
   int dropped;
   bool within;
 
   if (category == NULL
       || !log4c_category_is_priority_enabled (category, priorities[level]))
     return;
-  /* Under load the volume stays bounded: plain events over the bound are
-     dropped, what warns never is. */
-  within = within_bound (g_get_monotonic_time () / US_PER_S, &dropped);
+  /* Limits the log volume under load: debug and info lines over the limit are
+     dropped, warnings and errors never. */
+  within = is_within_limit (g_get_monotonic_time () / US_PER_S, &dropped);
   format_time (when, sizeof when);
   if (dropped > 0)
     log4c_category_log (category, priorities[LOG_LEVEL_WARNING],
--- a/log.h
+++ b/log.h
@@ -17,15 +17,18 @@
   LOG_LEVEL_ERROR
 };
 
-/* Open the log on standard output; VM and DOMAIN stand in every line, and of
-   debug and info lines at most MAX_LINES_S are written a second (0: all). */
+/* Open the log on standard output.  Every line carries VM and DOMAIN.  Lines
+   below LEAST are not written.  Once MAX_LINES_S lines were written in a
+   second, further debug and info lines of that second are dropped (0: no
+   limit). */
 void log_open (const char *vm, const char *domain, enum log_level least,
                int max_lines_s);
-/* Lines that nobody read in time. */
+/* Number of lines lost because standard output could not take them. */
 int64_t log_lost_lines (void);
 void log_close (void);
 
-/* Write "event=EVENT" and the pairs formatted by FMT. */
+/* Write a line with "event=EVENT" and the key=value pairs formatted by FMT.
+   Safe to call from any thread. */
 void log_event (enum log_level level, const char *event, const char *fmt, ...)
     __attribute__ ((format (printf, 3, 4)));
 void log_event_v (enum log_level level, const char *event, const char *fmt,
--- a/met.c
+++ b/met.c
@@ -1,13 +1,13 @@
-/* Metrics of this process, safe to update from any thread. */
+/* Metrics of this process; any thread may update them. */
 #include "met.h"
 
 #include <inttypes.h>
 
-/* Name and help text of one metric. */
+/* Name, type and help text of one metric. */
 struct metric
 {
   const char *name; /* as exported */
-  const char *type; /* counter or gauge */
+  const char *type; /* counter, gauge or histogram */
   const char *help; /* one sentence */
 };
 
@@ -104,16 +104,17 @@
       "Time from a request's last byte until it left for an endpoint." },
 };
 
-/* Upper bounds in microseconds; the last bucket has none. */
-static const int64_t bounds[] = {
+/* Upper bounds of the histogram buckets in microseconds; one more
+   bucket without a bound follows. */
+static const int64_t bucket_bounds_us[] = {
   1000,   2000,   5000,    10000,   20000,   50000,    100000,
   200000, 510000, 1000000, 2000000, 5000000, 10000000, 60000000,
 };
 
-#define BUCKETS (G_N_ELEMENTS (bounds) + 1)
+#define NBUCKETS (G_N_ELEMENTS (bucket_bounds_us) + 1)
 
 static int64_t values[MET_COUNT];
-static int64_t buckets[MET_HISTOGRAM_COUNT][BUCKETS];
+static int64_t buckets[MET_HISTOGRAM_COUNT][NBUCKETS];
 static int64_t sums_us[MET_HISTOGRAM_COUNT];
 
 void
@@ -133,14 +134,14 @@
 {
   size_t b = 0;
 
-  while (b < G_N_ELEMENTS (bounds) && us > bounds[b])
+  while (b < G_N_ELEMENTS (bucket_bounds_us) && us > bucket_bounds_us[b])
     b++;
   __atomic_fetch_add (&buckets[h][b], 1, __ATOMIC_RELAXED);
   __atomic_fetch_add (&sums_us[h], us, __ATOMIC_RELAXED);
 }
 
 static void
-print_head (GString *to, const struct metric *m)
+print_help_and_type (GString *to, const struct metric *m)
 {
   g_string_append_printf (to, "# HELP %s %s\n# TYPE %s %s\n", m->name, m->help,
                           m->name, m->type);
@@ -153,13 +154,14 @@
   int64_t total = 0;
   size_t b;
 
-  print_head (to, m);
-  for (b = 0; b < BUCKETS; b++)
+  print_help_and_type (to, m);
+  for (b = 0; b < NBUCKETS; b++)
     {
       total += __atomic_load_n (&buckets[h][b], __ATOMIC_RELAXED);
-      if (b < G_N_ELEMENTS (bounds))
+      if (b < G_N_ELEMENTS (bucket_bounds_us))
         g_string_append_printf (to, "%s_bucket{le=\"%g\"} %" PRId64 "\n",
-                                m->name, (double)bounds[b] / 1e6, total);
+                                m->name, (double)bucket_bounds_us[b] / 1e6,
+                                total);
       else
         g_string_append_printf (to, "%s_bucket{le=\"+Inf\"} %" PRId64 "\n",
                                 m->name, total);
@@ -177,7 +179,7 @@
 
   for (i = 0; i < MET_COUNT; i++)
     {
-      print_head (to, &metrics[i]);
+      print_help_and_type (to, &metrics[i]);
       g_string_append_printf (to, "%s %" PRId64 "\n", metrics[i].name,
                               met_get (i));
     }
--- a/met.h
+++ b/met.h
@@ -52,8 +52,10 @@
   MET_HISTOGRAM_COUNT
 };
 
+/* Add N, which may be negative for a gauge. */
 void met_add (enum met_id id, int64_t n);
 int64_t met_get (enum met_id id);
+/* Count an observation of US microseconds in a histogram. */
 void met_observe (enum met_histogram h, int64_t us);
 
 /* Append all metrics in the Prometheus text format. */
