--- a/ctl.c
+++ b/ctl.c
@@ -1,4 +1,4 @@
-/* Operators' command: ask or change a running VM over its /admin interface. */
+/* Command for operators: queries or changes a running VM through /admin. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,15 +8,15 @@
 #include "ctl.h"
 #include "server.h"
 
-/* A command to a VM. */
-struct verb
+/* A subcommand of ctl. */
+struct subcommand
 {
-  const char *name;                         /* word on the command line */
-  int nargs;                                /* arguments it takes */
+  const char *name;                         /* name on the command line */
+  int nargs;                                /* number of arguments */
   const char *method;                       /* HTTP method */
-  const char *path;                         /* %s is the argument */
+  const char *path;                         /* %s stands for the argument */
   void (*print) (const json_t *reply);      /* prints the reply */
-  int (*run) (const struct ctl_options *o); /* does it all, or NULL */
+  int (*run) (const struct ctl_options *o); /* used instead, or NULL */
   const char *summary;                      /* one line for --help */
 };
 
@@ -67,33 +67,34 @@
   }
 }
 
-/* An event of a request's history, in words. */
-struct phrase
+/* Description of an event in the history of a request. */
+struct event_text
 {
-  const char *event; /* first word of the line */
-  const char *words; /* what it means */
+  const char *event; /* first word of the history line */
+  const char *text;  /* description to print */
 };
 
-static const struct phrase phrases[] = {
+static const struct event_text event_texts[] = {
   { "accept", "the request was accepted" },
   { "route", "an endpoint was chosen by expected time to first token" },
-  { "import", "kept work was imported from a store" },
-  { "claim", "its claim was looked up or written in the table" },
+  { "import", "stored KV cache was imported from a store" },
+  { "claim",
+    "the claim of the request was read from or written to the table" },
   { "send", "the request was sent" },
   { "attempt_end", "the attempt ended" },
-  { "retry", "it started over at another endpoint" },
-  { "resume", "the broken stream went on at another endpoint" },
+  { "retry", "the request was started again at another endpoint" },
+  { "resume", "the broken stream was resumed at another endpoint" },
   { "finish", "the request ended" },
 };
 
 static const char *
-words_of (const char *event)
+describe_event (const char *event)
 {
   size_t i;
 
-  for (i = 0; i < sizeof phrases / sizeof phrases[0]; i++)
-    if (strcmp (phrases[i].event, event) == 0)
-      return phrases[i].words;
+  for (i = 0; i < sizeof event_texts / sizeof event_texts[0]; i++)
+    if (strcmp (event_texts[i].event, event) == 0)
+      return event_texts[i].text;
   return event;
 }
 
@@ -106,7 +107,7 @@
 
   sscanf (line, "%lld %31s %n", &us, event, &used);
   printf ("  after %lld.%03lld ms %s:\n    %s\n", us / 1000, us % 1000,
-          words_of (event), line + used);
+          describe_event (event), line + used);
 }
 
 static void
@@ -127,7 +128,7 @@
   }
 }
 
-static const struct verb verbs[] = {
+static const struct subcommand subcommands[] = {
   { "status", 0, "GET", "/admin/v1/status", print_pairs, NULL,
     "state of the VM" },
   { "workspaces", 0, "GET", "/admin/v1/workspaces", print_list, NULL,
@@ -137,30 +138,30 @@
   { "endpoints", 0, "GET", "/admin/v1/endpoints", print_list, NULL,
     "endpoints as this VM sees them" },
   { "stores", 0, "GET", "/admin/v1/stores", print_list, NULL,
-    "stores of kept work and their links" },
+    "stores of KV cache and their links" },
   { "drain", 1, "POST", "/admin/v1/endpoints/%s/drain", print_pairs, NULL,
-    "give an endpoint no new work" },
+    "send no new requests to an endpoint" },
   { "undrain", 1, "POST", "/admin/v1/endpoints/%s/undrain", print_pairs, NULL,
-    "give it work again" },
+    "send requests to the endpoint again" },
   { "apply", 1, NULL, NULL, NULL, ctl_apply,
-    "publish the changes in a file, and tell where they are in force" },
+    "publish the changes in a file and print where they are in force" },
   { "diff", 1, NULL, NULL, NULL, ctl_diff,
-    "tell what the changes in a file would change" },
-  { "history", 0, NULL, NULL, NULL, ctl_history, "changes so far" },
+    "print the differences that a file of changes would make" },
+  { "history", 0, NULL, NULL, NULL, ctl_history, "accepted changes" },
   { "members", 0, NULL, NULL, NULL, ctl_members,
     "VMs as this one knows them" },
   { "settings", 0, NULL, NULL, NULL, ctl_settings,
     "settings in force, and where each came from" },
   { "explain", 1, "GET", "/admin/v1/requests/%s", print_request, NULL,
-    "tell what happened to a request" },
+    "print the history of a request" },
 };
 
-#define NVERBS (sizeof verbs / sizeof verbs[0])
+#define NSUBCOMMANDS (sizeof subcommands / sizeof subcommands[0])
 
 /* --- commands -------------------------------------------------------- */
 
 static int
-ask (const struct ctl_options *o, const struct verb *v)
+call_and_print (const struct ctl_options *o, const struct subcommand *v)
 {
   g_autofree char *target
       = o->nargs > 1 ? g_uri_escape_string (o->args[1], NULL, FALSE) : NULL;
@@ -182,7 +183,7 @@
 }
 
 static int
-run_verb (const struct ctl_options *o, const struct verb *v)
+run_subcommand (const struct ctl_options *o, const struct subcommand *v)
 {
   g_autofree char *key = ctl_read_key (o);
 
@@ -192,13 +193,13 @@
                        " or use --key-file\n");
       return EXIT_CODE_USAGE;
     }
-  return v->run != NULL ? v->run (o) : ask (o, v);
+  return v->run != NULL ? v->run (o) : call_and_print (o, v);
 }
 
 /* --- command line ---------------------------------------------------- */
 
 static const struct argp_option ctl_options[] = {
-  { "address", 'a', "IP:PORT", 0, "VM to ask", 0 },
+  { "address", 'a', "IP:PORT", 0, "VM to call", 0 },
   { "key-file", 'k', "FILE", 0,
     "File with the operator's key; else " CTL_KEY_VARIABLE, 0 },
   { "json", 'j', 0, 0, "Print the reply as JSON", 0 },
@@ -211,21 +212,21 @@
   { 0 },
 };
 
-static const struct verb *
-find_verb (const struct ctl_options *o)
+static const struct subcommand *
+find_subcommand (const struct ctl_options *o)
 {
   size_t i;
 
-  for (i = 0; i < NVERBS && o->nargs > 0; i++)
-    if (strcmp (verbs[i].name, o->args[0]) == 0)
-      return &verbs[i];
+  for (i = 0; i < NSUBCOMMANDS && o->nargs > 0; i++)
+    if (strcmp (subcommands[i].name, o->args[0]) == 0)
+      return &subcommands[i];
   return NULL;
 }
 
 static void
-check_words (struct argp_state *state, const struct ctl_options *o)
+check_args (struct argp_state *state, const struct ctl_options *o)
 {
-  const struct verb *v = find_verb (o);
+  const struct subcommand *v = find_subcommand (o);
 
   if (o->nargs == 0)
     argp_error (state, "a command is required");
@@ -266,7 +267,7 @@
       o->args[o->nargs++] = arg;
       return 0;
     case ARGP_KEY_END:
-      check_words (state, o);
+      check_args (state, o);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -274,27 +275,28 @@
 }
 
 static char *
-verb_list (void)
+format_help (void)
 {
   GString *text = g_string_new ("Ask or change a running VM.\vCommands:\n");
   size_t i;
 
-  for (i = 0; i < NVERBS; i++)
-    g_string_append_printf (
-        text, "  %s%s%*s %s\n", verbs[i].name, verbs[i].nargs ? " NAME" : "",
-        16 - (int)strlen (verbs[i].name) - (verbs[i].nargs ? 5 : 0), "",
-        verbs[i].summary);
+  for (i = 0; i < NSUBCOMMANDS; i++)
+    g_string_append_printf (text, "  %s%s%*s %s\n", subcommands[i].name,
+                            subcommands[i].nargs ? " NAME" : "",
+                            16 - (int)strlen (subcommands[i].name)
+                                - (subcommands[i].nargs ? 5 : 0),
+                            "", subcommands[i].summary);
   return g_string_free (text, FALSE);
 }
 
 int
 cmd_ctl (int argc, char **argv)
 {
-  g_autofree char *doc = verb_list ();
+  g_autofree char *doc = format_help ();
   struct argp argp
       = { ctl_options, parse_ctl, "COMMAND [NAME]", doc, 0, 0, 0 };
   struct ctl_options o = { .wait_s = 6 };
 
   argp_parse (&argp, argc, argv, 0, NULL, &o);
-  return run_verb (&o, find_verb (&o));
+  return run_subcommand (&o, find_subcommand (&o));
 }
--- a/ctlcall.c
+++ b/ctlcall.c
@@ -1,4 +1,4 @@
-/* A call of the ctl command to a VM. */
+/* HTTP calls of the ctl command to a VM. */
 #include <curl/curl.h>
 #include <stdio.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "ctl.h"
 #include "server.h"
 
-#define TIMEOUT_S 10L
+#define CALL_TIMEOUT_S 10L
 
 static size_t
-take_reply (char *data, size_t size, size_t n, void *arg)
+append_reply (char *data, size_t size, size_t n, void *arg)
 {
   g_string_append_len (arg, data, (gssize)(size * n));
   return size * n;
@@ -42,9 +42,9 @@
 
   curl_easy_setopt (c, CURLOPT_URL, url);
   curl_easy_setopt (c, CURLOPT_PROXY, "");
-  curl_easy_setopt (c, CURLOPT_TIMEOUT, TIMEOUT_S);
+  curl_easy_setopt (c, CURLOPT_TIMEOUT, CALL_TIMEOUT_S);
   curl_easy_setopt (c, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt (c, CURLOPT_WRITEFUNCTION, take_reply);
+  curl_easy_setopt (c, CURLOPT_WRITEFUNCTION, append_reply);
   curl_easy_setopt (c, CURLOPT_WRITEDATA, reply);
   if (strcmp (method, "POST") == 0)
     curl_easy_setopt (c, CURLOPT_POSTFIELDS, body ? body : "");
--- a/ctlconf.c
+++ b/ctlconf.c
@@ -1,7 +1,8 @@
 /*
- * Operators' changes of settings: apply, diff, history, members.
+ * Subcommands of ctl on settings and members: apply, diff, history, members
+ * and settings.
  *
- * A change is an INI file of groups and keys; each key is set to its value.
+ * A file of changes is an INI file; each key in it is set to the given value.
  */
 #include "ctl.h"
 
@@ -12,9 +13,9 @@
 #include "server.h"
 
 #define CONFIG_PATH "/admin/v1/config"
-#define POLL_US 50000
+#define POLL_INTERVAL_US 50000
 
-/* --- the VM's state --- */
+/* --- state of the VM --- */
 
 static json_t *
 fetch_state (const struct ctl_options *o, int *code)
@@ -31,13 +32,13 @@
 }
 
 static int64_t
-int_of (const json_t *doc, const char *field)
+int_field (const json_t *doc, const char *field)
 {
   return json_integer_value (json_object_get (doc, field));
 }
 
 static const char *
-text_of (const json_t *doc, const char *field)
+text_field (const json_t *doc, const char *field)
 {
   const char *s = json_string_value (json_object_get (doc, field));
 
@@ -46,19 +47,19 @@
 
 /* --- where a revision is in force --- */
 
-/* What is known of one failure domain. */
+/* Counts of the VMs in one failure domain. */
 struct domain
 {
-  int in_force;      /* VMs that have the revision */
-  int vms;           /* live VMs */
-  int gone;          /* VMs that are dead, or do not answer */
-  int64_t silent_ms; /* least time since one of them answered, -1 never */
+  int in_force;          /* live VMs with the revision or a newer one */
+  int vms;               /* live VMs */
+  int dead;              /* dead VMs */
+  int64_t last_heard_ms; /* least time since a message from one, -1: never */
 };
 
 static bool
 is_live (const json_t *vm)
 {
-  const char *state = text_of (vm, "state");
+  const char *state = text_field (vm, "state");
 
   return strcmp (state, "alive") == 0 || strcmp (state, "suspect") == 0;
 }
@@ -66,25 +67,25 @@
 static void
 count_vm (GHashTable *domains, const json_t *vm, int64_t revision)
 {
-  const char *name = text_of (vm, "domain");
+  const char *name = text_field (vm, "domain");
   struct domain *d = g_hash_table_lookup (domains, name);
-  int64_t heard = int_of (vm, "heard_ms_ago");
+  int64_t heard_ms = int_field (vm, "heard_ms_ago");
 
   if (d == NULL)
     {
       d = g_new0 (struct domain, 1);
-      d->silent_ms = -1;
+      d->last_heard_ms = -1;
       g_hash_table_insert (domains, g_strdup (name), d);
     }
-  if (heard >= 0 && (d->silent_ms < 0 || heard < d->silent_ms))
-    d->silent_ms = heard;
+  if (heard_ms >= 0 && (d->last_heard_ms < 0 || heard_ms < d->last_heard_ms))
+    d->last_heard_ms = heard_ms;
   if (!is_live (vm))
     {
-      d->gone += strcmp (text_of (vm, "state"), "dead") == 0;
+      d->dead += strcmp (text_field (vm, "state"), "dead") == 0;
       return;
     }
   d->vms++;
-  d->in_force += int_of (vm, "revision") >= revision;
+  d->in_force += int_field (vm, "revision") >= revision;
 }
 
 static GHashTable *
@@ -103,7 +104,7 @@
 }
 
 static bool
-everywhere (GHashTable *domains)
+is_in_force_everywhere (GHashTable *domains)
 {
   GHashTableIter it;
   gpointer key, value;
@@ -133,16 +134,17 @@
       if (d->vms == 0)
         printf ("  %s: cut off, last heard %" G_GINT64_FORMAT " s ago\n",
                 (char *)l->data,
-                (gint64)(d->silent_ms < 0 ? -1 : d->silent_ms / 1000));
+                (gint64)(d->last_heard_ms < 0 ? -1 : d->last_heard_ms / 1000));
       else
         printf ("  %s: in force on %d of %d VMs\n", (char *)l->data,
                 d->in_force, d->vms);
     }
 }
 
-/* Wait until the revision is in force on all live VMs, or the time is up. */
+/* Wait until the revision is in force on all live VMs or the wait time is
+   over, then print the state of each domain.  Returns an exit code. */
 static int
-await_force (const struct ctl_options *o, int64_t revision)
+wait_in_force (const struct ctl_options *o, int64_t revision)
 {
   gint64 end = g_get_monotonic_time () + (gint64)o->wait_s * G_USEC_PER_SEC;
   int code = EXIT_CODE_OK;
@@ -156,22 +158,22 @@
       if (state == NULL)
         return code;
       domains = count_domains (state, revision);
-      done = everywhere (domains);
+      done = is_in_force_everywhere (domains);
       if (done || g_get_monotonic_time () >= end)
         print_domains (domains);
       g_hash_table_destroy (domains);
       json_decref (state);
       if (!done)
-        g_usleep (POLL_US);
+        g_usleep (POLL_INTERVAL_US);
     }
   while (!done && g_get_monotonic_time () < end);
   return done ? EXIT_CODE_OK : EXIT_CODE_FAILED;
 }
 
-/* --- files of changes --- */
+/* --- sending changes --- */
 
 static json_t *
-read_sets (const char *file)
+read_change_file (const char *file)
 {
   g_autoptr (GKeyFile) in = g_key_file_new ();
   g_autoptr (GError) err = NULL;
@@ -204,7 +206,8 @@
 }
 
 static char *
-make_change (const struct ctl_options *o, json_t *sets, int64_t read_revision)
+change_to_json (const struct ctl_options *o, json_t *sets,
+                int64_t read_revision)
 {
   g_autofree char *id = g_uuid_string_random ();
   json_t *doc = json_pack ("{s:s,s:I,s:b,s:o}", "id", id, "read_revision",
@@ -218,8 +221,9 @@
   return copy;
 }
 
-/* A reply that may have been lost is asked for again with the same change id:
-   it is accepted once, whichever of the two arrived. */
+/* Send the change, and send it again if the reply may have been lost.  The
+   change id stays the same, so the change is accepted only once even if both
+   requests arrive. */
 static long
 send_change (const struct ctl_options *o, const char *body, GString *reply)
 {
@@ -232,7 +236,7 @@
       status = ctl_call (o, "POST", CONFIG_PATH, body, reply);
       if (status != 0 && strstr (reply->str, "maybe_accepted") == NULL)
         break;
-      g_usleep (POLL_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return status;
 }
@@ -240,7 +244,7 @@
 int
 ctl_apply (const struct ctl_options *o)
 {
-  json_t *sets = read_sets (o->args[1]);
+  json_t *sets = read_change_file (o->args[1]);
   g_autoptr (GString) reply = g_string_new (NULL);
   g_autofree char *body = NULL;
   int code = EXIT_CODE_FAILED;
@@ -256,23 +260,24 @@
       json_decref (sets);
       return code;
     }
-  body = make_change (o, sets, int_of (state, "revision"));
+  body = change_to_json (o, sets, int_field (state, "revision"));
   json_decref (state);
   status = send_change (o, body, reply);
   doc = json_loadb (reply->str, reply->len, 0, NULL);
-  revision = int_of (doc, "revision");
+  revision = int_field (doc, "revision");
   if (status != 200)
     code = ctl_report_error (o, status, doc);
   json_decref (doc);
   if (status != 200)
     return code;
   printf ("accepted at revision %" G_GINT64_FORMAT "\n", (gint64)revision);
-  return await_force (o, revision);
+  return wait_in_force (o, revision);
 }
 
 /* --- diff --- */
 
-/* Text of a key in what "show" prints, without its origin; "" if absent. */
+/* Value of a key in SHOWN, the text of GET /admin/v1/settings, without the
+   comment on its origin; "" if absent.  The caller frees it. */
 static char *
 shown_value (const char *shown, const char *group, const char *key)
 {
@@ -300,7 +305,7 @@
 int
 ctl_diff (const struct ctl_options *o)
 {
-  json_t *sets = read_sets (o->args[1]);
+  json_t *sets = read_change_file (o->args[1]);
   g_autoptr (GString) shown = g_string_new (NULL);
   const json_t *set;
   long status;
@@ -335,16 +340,17 @@
 {
   int code = EXIT_CODE_FAILED;
   json_t *state = fetch_state (o, &code);
-  const json_t *one, *change, *set;
+  const json_t *entry, *change, *set;
   size_t i, k;
 
   if (state == NULL)
     return code;
-  json_array_foreach (json_object_get (state, "changes"), i, one)
+  json_array_foreach (json_object_get (state, "changes"), i, entry)
   {
-    change = json_object_get (one, "change");
+    change = json_object_get (entry, "change");
     printf ("revision %" G_GINT64_FORMAT " by %s\n",
-            (gint64)int_of (one, "revision"), text_of (change, "operator"));
+            (gint64)int_field (entry, "revision"),
+            text_field (change, "operator"));
     json_array_foreach (json_object_get (change, "sets"), k, set)
     {
       printf ("  [%s] %s = %s\n", json_string_value (json_array_get (set, 0)),
@@ -367,13 +373,13 @@
   if (state == NULL)
     return code;
   printf ("revision=%" G_GINT64_FORMAT " stale=%s\n",
-          (gint64)int_of (state, "revision"),
+          (gint64)int_field (state, "revision"),
           json_is_true (json_object_get (state, "stale")) ? "yes" : "no");
   json_array_foreach (json_object_get (state, "vms"), i, vm)
   {
     printf ("%s domain=%s state=%s revision=%" G_GINT64_FORMAT "\n",
-            text_of (vm, "name"), text_of (vm, "domain"),
-            text_of (vm, "state"), (gint64)int_of (vm, "revision"));
+            text_field (vm, "name"), text_field (vm, "domain"),
+            text_field (vm, "state"), (gint64)int_field (vm, "revision"));
   }
   json_decref (state);
   return EXIT_CODE_OK;
--- a/main.c
+++ b/main.c
@@ -1,4 +1,4 @@
-/* The one binary: its commands and what they share. */
+/* Main program: chooses the command and implements the short ones. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 
 const char *argp_program_version = "camphorquay " CQ_VERSION;
 
-/* One command. */
+/* A command of the program. */
 struct command
 {
-  const char *name;                   /* word on the command line */
-  int (*run) (int argc, char **argv); /* argv[0] is "camphorquay NAME" */
+  const char *name;                   /* name on the command line */
+  int (*run) (int argc, char **argv); /* argv[0]: "camphorquay NAME" */
   const char *summary;                /* one line for --help */
 };
 
@@ -170,7 +170,7 @@
   return EXIT_CODE_OK;
 }
 
-/* --- choice of a command --------------------------------------------- */
+/* --- command dispatch ------------------------------------------------ */
 
 static const struct command *
 find_command (const char *name)
@@ -214,7 +214,7 @@
 }
 
 static char *
-command_list (void)
+format_help (void)
 {
   GString *text = g_string_new ("Serving for prompts that return after long "
                                 "gaps.\vCommands:\n");
@@ -231,7 +231,7 @@
 int
 main (int argc, char **argv)
 {
-  char *doc = command_list ();
+  char *doc = format_help ();
   struct argp argp
       = { NULL, parse_command, "COMMAND [OPTION...]", doc, 0, 0, 0 };
 
