--- a/regress/logstall.sh
+++ b/regress/logstall.sh
@@ -1,5 +1,6 @@
-# The reader of a VM's log stops reading.  Requests must go on as before: a
-# line that the pipe does not take is lost, and is counted.
+# Guards against a VM that blocks when the reader of its log stops reading.  The
+# log goes to a pipe that fills up; every request must still succeed, and lines
+# that do not fit into the pipe are lost.
 . ./lib.sh || exit 1
 . ./site.sh
 start_fake rows rows
@@ -10,7 +11,7 @@
 kill -TERM "$pid_a"
 wait "$pid_a"
 mkfifo "$tmp/log"
-# Held open on both ends and read by nobody until the end.
+# The pipe is open for reading and writing, but is not read while requests run.
 exec 8<>"$tmp/log"
 $bin serve --base "$tmp/a.base.ini" --overlay "$tmp/a.site.ini" >&8 2>/dev/null &
 pid_a=$!
@@ -22,7 +23,7 @@
 front_a=$(sed -n 's/.*event=listen address=\([^ ]*\).*/\1/p' "$tmp/seen" | sed -n 2p)
 ready_a=$(sed -n 's/.*event=listen address=\([^ ]*\).*/\1/p' "$tmp/seen" | sed -n 3p)
 wait_for is_ready a
-# A pipe holds 64 KB; each request writes some 500 bytes.
+# A pipe holds 64 KB; each request writes about 500 bytes of log lines.
 for i in $(seq 300); do ask a /safe/x; done | sort | uniq -c | tr -s ' '
 kill -TERM "$pid_a"
 wait "$pid_a"
