--- a/follow.c
+++ b/follow.c
@@ -419,7 +419,7 @@
     }
   if (first == NULL)
     return;
-  met_add (MET_ROWS_SPOILED, count);
+  met_add (MET_ROWS_INVALID, count);
   log_event (
       LOG_LEVEL_WARNING, "rows_left_out",
       "source=%s rows=%d of=%u first=%s reason=%s row=%" G_GINT64_FORMAT,
@@ -480,7 +480,7 @@
                  "outcome=older_copy era=%" G_GINT64_FORMAT
                  " before=%" G_GINT64_FORMAT,
                  (gint64)era, (gint64)f->era);
-      met_add (MET_OLDER_COPIES, 1);
+      met_add (MET_STORE_RESTORES, 1);
       f->ntimes = 0;
       f->opts.fleet->conf_row = 0;
       fleet_list_recovered (f->opts.fleet, now_us);
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -255,7 +255,7 @@
       apr_socket_sendto (t->sock, l->to, 0, (const char *)bytes->data, &len);
       sent++;
     }
-  met_add (MET_LOADS_TOLD, sent);
+  met_add (MET_LOADS_SENT, sent);
 }
 
 void
@@ -309,12 +309,12 @@
   if (!loadgossip_decode (data, len, &w) || strcmp (w.vm, t->self.vm) == 0
       || apr_sockaddr_ip_get (&ip, (apr_sockaddr_t *)from) != APR_SUCCESS)
     {
-      met_add (MET_LOADS_UNREAD, 1);
+      met_add (MET_LOADS_INVALID, 1);
       return;
     }
   if (!load_update (t->opts.load_table, &w, now_us))
     return;
-  met_add (MET_LOADS_HEARD, 1);
+  met_add (MET_LOADS_RECEIVED, 1);
   l = find_peer (t, w.vm);
   if (l == NULL)
     {
--- a/met.c
+++ b/met.c
@@ -1,13 +1,13 @@
-/* Metrics of this process, safe to update from any thread. */
+/* Metrics of this process; any thread may update them. */
 #include "met.h"
 
 #include <inttypes.h>
 
-/* Name and help text of one metric. */
+/* Name, type and help text of one metric. */
 struct metric
 {
   const char *name; /* as exported */
-  const char *type; /* counter or gauge */
+  const char *type; /* counter, gauge or histogram */
   const char *help; /* one sentence */
 };
 
@@ -47,35 +47,39 @@
                           "Prompt tokens expected in accelerator memory." },
   [MET_PROMPT_TOKENS] = { "camphorquay_prompt_tokens_total", "counter",
                           "Prompt tokens sent to endpoints." },
-  [MET_ROWS_SPOILED] = { "camphorquay_rows_spoiled_total", "counter",
+  [MET_ROWS_INVALID] = { "camphorquay_rows_spoiled_total", "counter",
                          "Rows of the platform that could not be used." },
-  [MET_LOADS_TOLD] = { "camphorquay_loads_told_total", "counter",
+  [MET_LOADS_SENT] = { "camphorquay_loads_told_total", "counter",
                        "Words about this VM's work, told to a VM each." },
-  [MET_LOADS_HEARD] = { "camphorquay_loads_heard_total", "counter",
-                        "Words of other VMs about their work." },
-  [MET_LOADS_UNREAD] = { "camphorquay_loads_unread_total", "counter",
-                         "Datagrams that are no such word." },
-  [MET_HELD] = { "camphorquay_quarantined_total", "counter",
-                 "Requests refused since endpoints end under them." },
+  [MET_LOADS_RECEIVED] = { "camphorquay_loads_heard_total", "counter",
+                           "Words of other VMs about their work." },
+  [MET_LOADS_INVALID] = { "camphorquay_loads_unread_total", "counter",
+                          "Datagrams that are no such word." },
+  [MET_QUARANTINED] = { "camphorquay_quarantined_total", "counter",
+                        "Requests refused since endpoints end under them." },
   [MET_DEFERRED]
   = { "camphorquay_deferred_total", "counter",
       "Requests refused for now, since one like it runs and may crash its "
       "endpoint." },
-  [MET_COLD] = { "camphorquay_refused_cold_total", "counter",
-                 "Requests refused since the endpoints left are cold." },
-  [MET_LIMITED] = { "camphorquay_refused_limited_total", "counter",
-                    "Requests refused since the limits of the endpoints left "
-                    "are used." },
-  [MET_RESTING] = { "camphorquay_refused_resting_total", "counter",
-                    "Requests refused since the endpoints left asked for "
-                    "rest." },
-  [MET_EVACUATED]
+  [MET_REFUSED_COLD]
+  = { "camphorquay_refused_cold_total", "counter",
+      "Requests refused since the endpoints left are cold." },
+  [MET_REFUSED_LIMITED]
+  = { "camphorquay_refused_limited_total", "counter",
+      "Requests refused since the limits of the endpoints left "
+      "are used." },
+  [MET_REFUSED_BACKOFF]
+  = { "camphorquay_refused_resting_total", "counter",
+      "Requests refused since the endpoints left asked for "
+      "rest." },
+  [MET_REFUSED_EVACUATED]
   = { "camphorquay_refused_evacuated_total", "counter",
       "Requests refused since the domains left are evacuated." },
-  [MET_ABROAD] = { "camphorquay_refused_no_home_total", "counter",
-                   "Requests refused since no endpoint left is in a region "
-                   "that they may use." },
-  [MET_OLDER_COPIES]
+  [MET_REFUSED_REGION]
+  = { "camphorquay_refused_no_home_total", "counter",
+      "Requests refused since no endpoint left is in a region "
+      "that they may use." },
+  [MET_STORE_RESTORES]
   = { "camphorquay_older_copies_total", "counter",
       "Times that the platform's store came back from an older copy." },
   [MET_RUNNING]
@@ -87,11 +91,11 @@
                          "Bytes of streams that callers have not taken." },
 };
 
-static const struct metric histograms[MET_HISTOGRAMS] = {
+static const struct metric histograms[MET_HISTOGRAM_COUNT] = {
   [MET_FIRST_TOKEN]
   = { "camphorquay_first_token_seconds", "histogram",
       "Time from a request's last byte to its first token." },
-  [MET_WHOLE_TIME] = { "camphorquay_whole_seconds", "histogram",
+  [MET_TOTAL_TIME] = { "camphorquay_whole_seconds", "histogram",
                        "Time from a request's last byte to its end." },
   [MET_QUEUE_TIME] = { "camphorquay_queue_seconds", "histogram",
                        "Time a request waited for a place." },
@@ -100,17 +104,18 @@
       "Time from a request's last byte until it left for an endpoint." },
 };
 
-/* Upper bounds in microseconds; the last bucket has none. */
-static const int64_t bounds[] = {
+/* Upper bounds of the histogram buckets in microseconds; one more
+   bucket without a bound follows. */
+static const int64_t bucket_bounds_us[] = {
   1000,   2000,   5000,    10000,   20000,   50000,    100000,
   200000, 510000, 1000000, 2000000, 5000000, 10000000, 60000000,
 };
 
-#define BUCKETS (G_N_ELEMENTS (bounds) + 1)
+#define NBUCKETS (G_N_ELEMENTS (bucket_bounds_us) + 1)
 
 static int64_t values[MET_COUNT];
-static int64_t buckets[MET_HISTOGRAMS][BUCKETS];
-static int64_t sums_us[MET_HISTOGRAMS];
+static int64_t buckets[MET_HISTOGRAM_COUNT][NBUCKETS];
+static int64_t sums_us[MET_HISTOGRAM_COUNT];
 
 void
 met_add (enum met_id id, int64_t n)
@@ -129,14 +134,14 @@
 {
   size_t b = 0;
 
-  while (b < G_N_ELEMENTS (bounds) && us > bounds[b])
+  while (b < G_N_ELEMENTS (bucket_bounds_us) && us > bucket_bounds_us[b])
     b++;
   __atomic_fetch_add (&buckets[h][b], 1, __ATOMIC_RELAXED);
   __atomic_fetch_add (&sums_us[h], us, __ATOMIC_RELAXED);
 }
 
 static void
-print_head (GString *to, const struct metric *m)
+print_help_and_type (GString *to, const struct metric *m)
 {
   g_string_append_printf (to, "# HELP %s %s\n# TYPE %s %s\n", m->name, m->help,
                           m->name, m->type);
@@ -149,13 +154,14 @@
   int64_t total = 0;
   size_t b;
 
-  print_head (to, m);
-  for (b = 0; b < BUCKETS; b++)
+  print_help_and_type (to, m);
+  for (b = 0; b < NBUCKETS; b++)
     {
       total += __atomic_load_n (&buckets[h][b], __ATOMIC_RELAXED);
-      if (b < G_N_ELEMENTS (bounds))
+      if (b < G_N_ELEMENTS (bucket_bounds_us))
         g_string_append_printf (to, "%s_bucket{le=\"%g\"} %" PRId64 "\n",
-                                m->name, (double)bounds[b] / 1e6, total);
+                                m->name, (double)bucket_bounds_us[b] / 1e6,
+                                total);
       else
         g_string_append_printf (to, "%s_bucket{le=\"+Inf\"} %" PRId64 "\n",
                                 m->name, total);
@@ -173,10 +179,10 @@
 
   for (i = 0; i < MET_COUNT; i++)
     {
-      print_head (to, &metrics[i]);
+      print_help_and_type (to, &metrics[i]);
       g_string_append_printf (to, "%s %" PRId64 "\n", metrics[i].name,
                               met_get (i));
     }
-  for (i = 0; i < MET_HISTOGRAMS; i++)
+  for (i = 0; i < MET_HISTOGRAM_COUNT; i++)
     print_histogram (to, i);
 }
--- a/met.h
+++ b/met.h
@@ -24,18 +24,18 @@
   MET_CLAIM_REPLAYS,
   MET_CACHED_TOKENS,
   MET_PROMPT_TOKENS,
-  MET_ROWS_SPOILED,
-  MET_LOADS_TOLD,
-  MET_LOADS_HEARD,
-  MET_LOADS_UNREAD,
-  MET_HELD,
+  MET_ROWS_INVALID,
+  MET_LOADS_SENT,
+  MET_LOADS_RECEIVED,
+  MET_LOADS_INVALID,
+  MET_QUARANTINED,
   MET_DEFERRED,
-  MET_COLD,
-  MET_LIMITED,
-  MET_RESTING,
-  MET_EVACUATED,
-  MET_ABROAD,
-  MET_OLDER_COPIES,
+  MET_REFUSED_COLD,
+  MET_REFUSED_LIMITED,
+  MET_REFUSED_BACKOFF,
+  MET_REFUSED_EVACUATED,
+  MET_REFUSED_REGION,
+  MET_STORE_RESTORES,
   MET_RUNNING,
   MET_QUEUED,
   MET_CONNECTIONS,
@@ -46,14 +46,16 @@
 enum met_histogram
 {
   MET_FIRST_TOKEN,
-  MET_WHOLE_TIME,
+  MET_TOTAL_TIME,
   MET_QUEUE_TIME,
   MET_HANDOVER_TIME,
-  MET_HISTOGRAMS
+  MET_HISTOGRAM_COUNT
 };
 
+/* Add N, which may be negative for a gauge. */
 void met_add (enum met_id id, int64_t n);
 int64_t met_get (enum met_id id);
+/* Count an observation of US microseconds in a histogram. */
 void met_observe (enum met_histogram h, int64_t us);
 
 /* Append all metrics in the Prometheus text format. */
--- a/relayquar.c
+++ b/relayquar.c
@@ -91,7 +91,7 @@
              r->desc.id, reqid_text (relay_identity (r), text), names[hold],
              v.incidents, v.probability,
              (gint64)(v.is_quarantined ? v.until_ms - now_ms : 0));
-  met_add (MET_HELD, hold == RELAY_QUAR_REFUSE);
+  met_add (MET_QUARANTINED, hold == RELAY_QUAR_REFUSE);
   met_add (MET_DEFERRED, hold == RELAY_QUAR_DEFER);
   return hold;
 }
