--- a/entry.c
+++ b/entry.c
@@ -464,10 +464,11 @@
 {
   if (e == NULL)
     return 0;
-  return follow_waiting (e->follow) + orders_pending_calls (e->orders)
-         + partfeed_waiting (e->partfeed)
+  return follow_pending_calls (e->follow) + orders_pending_calls (e->orders)
+         + partfeed_pending_calls (e->partfeed)
          + quarfeed_pending_calls (e->quarfeed)
-         + (e->load_gossip != NULL ? loadgossip_waiting (e->load_gossip) : 0);
+         + (e->load_gossip != NULL ? loadgossip_pending_calls (e->load_gossip)
+                                   : 0);
 }
 
 void
--- a/follow.c
+++ b/follow.c
@@ -190,13 +190,14 @@
    current one, until the current one writes again. */
 static void
 log_stale_listing (const struct fleet_endpoint *e,
-                   const struct follow_item *it, enum fleet_incarnation life)
+                   const struct follow_item *it,
+                   enum fleet_incarnation incarnation)
 {
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=passed_over reason=life_%s source=list "
              "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT
              " row=%" G_GINT64_FORMAT,
-             e->listing.id, fleet_incarnation_name (life),
+             e->listing.id, fleet_incarnation_name (incarnation),
              (gint64)it->listing.started_ms, (gint64)e->listing.started_ms,
              (gint64)it->row);
 }
@@ -205,9 +206,9 @@
 apply_endpoint (struct fleet *f, const struct follow_item *it, int64_t now_us)
 {
   struct fleet_endpoint *old = g_hash_table_lookup (f->by_id, it->listing.id);
-  enum fleet_incarnation life
+  enum fleet_incarnation incarnation
       = fleet_incarnation_compare (old, it->listing.started_ms);
-  bool restarted = old != NULL && life == FLEET_INCARNATION_NEWER;
+  bool restarted = old != NULL && incarnation == FLEET_INCARNATION_NEWER;
   bool draining = old != NULL && old->draining;
   bool cold = old != NULL && !restarted && cold_is (&old->cold, now_us);
   int64_t version = old != NULL ? old->version : 0;
@@ -215,10 +216,10 @@
   struct fleet_endpoint *e;
 
   if (old != NULL
-      && (life == FLEET_INCARNATION_OLDER
-          || life == FLEET_INCARNATION_UNKNOWN))
+      && (incarnation == FLEET_INCARNATION_OLDER
+          || incarnation == FLEET_INCARNATION_UNKNOWN))
     {
-      log_stale_listing (old, it, life);
+      log_stale_listing (old, it, incarnation);
       return;
     }
   e = fleet_apply_listing (f, &it->listing, now_us);
@@ -709,7 +710,7 @@
 }
 
 int
-follow_waiting (const struct follow *f)
+follow_pending_calls (const struct follow *f)
 {
   int n = 0;
   int i;
--- a/follow.h
+++ b/follow.h
@@ -126,6 +126,6 @@
 /* Newest era of the platform's store that was seen; 0 if it gives none. */
 int64_t follow_era (const struct follow *f);
 /* Calls in progress. */
-int follow_waiting (const struct follow *f);
+int follow_pending_calls (const struct follow *f);
 
 #endif
--- a/libserver.h
+++ b/libserver.h
@@ -610,7 +610,7 @@
 uint64_t member_revision (struct member *m);
 int member_live (struct member *m);
 bool member_expected (struct member *m);
-int member_waiting (struct member *m);
+int member_pending_calls (struct member *m);
 json_t *member_list (struct member *m);
 void member_cut (struct member *m, const char *prefix);
 
--- a/loadgossip.c
+++ b/loadgossip.c
@@ -654,7 +654,7 @@
 }
 
 int
-loadgossip_waiting (const struct loadgossip *t)
+loadgossip_pending_calls (const struct loadgossip *t)
 {
   return t->calls;
 }
--- a/loadgossip.h
+++ b/loadgossip.h
@@ -106,7 +106,7 @@
    false until it has read its own row there. */
 bool loadgossip_ranks_first (const struct loadgossip *t, uint64_t key);
 /* Calls to the platform in progress. */
-int loadgossip_waiting (const struct loadgossip *t);
+int loadgossip_pending_calls (const struct loadgossip *t);
 
 /* Encode and decode a message; pure.  The caller frees the encoded bytes;
    decoding returns false if DATA is not a valid message. */
--- a/member.c
+++ b/member.c
@@ -576,7 +576,7 @@
 }
 
 int
-member_waiting (struct member *m)
+member_pending_calls (struct member *m)
 {
   return __atomic_load_n (&m->waiting, __ATOMIC_RELAXED);
 }
--- a/orders.c
+++ b/orders.c
@@ -543,18 +543,20 @@
                      int64_t now_us)
 {
   struct fleet_endpoint *e = t->endpoint;
-  enum fleet_incarnation life = fleet_incarnation_compare (e, s->started_ms);
+  enum fleet_incarnation incarnation
+      = fleet_incarnation_compare (e, s->started_ms);
 
-  if (e->removed || life == FLEET_INCARNATION_SAME
-      || life == FLEET_INCARNATION_UNKNOWN)
+  if (e->removed || incarnation == FLEET_INCARNATION_SAME
+      || incarnation == FLEET_INCARNATION_UNKNOWN)
     return !e->removed;
   log_event (LOG_LEVEL_INFO, "endpoint",
              "endpoint=%s outcome=%s source=report born_ms=%" G_GINT64_FORMAT
              " before_ms=%" G_GINT64_FORMAT,
              e->listing.id,
-             life == FLEET_INCARNATION_NEWER ? "started_again" : "passed_over",
+             incarnation == FLEET_INCARNATION_NEWER ? "started_again"
+                                                    : "passed_over",
              (gint64)s->started_ms, (gint64)e->listing.started_ms);
-  if (life == FLEET_INCARNATION_NEWER)
+  if (incarnation == FLEET_INCARNATION_NEWER)
     fleet_apply_restart (t->orders->opts.fleet, e, s->started_ms, now_us);
   return false;
 }
--- a/partfeed.c
+++ b/partfeed.c
@@ -181,8 +181,8 @@
 is_of_earlier_incarnation (const struct parts_store *s,
                            const struct partfeed_reply *n)
 {
-  return n->status == PARTFEED_OK && n->born_ms != 0
-         && n->born_ms < s->born_ms;
+  return n->status == PARTFEED_OK && n->started_ms != 0
+         && n->started_ms < s->started_ms;
 }
 
 /* A restart empties a store, and lost events may include removals: a part that
@@ -217,13 +217,14 @@
       log_event (LOG_LEVEL_INFO, "store",
                  "store=%s outcome=passed_over reason=life_older "
                  "born_ms=%" G_GINT64_FORMAT " known_ms=%" G_GINT64_FORMAT,
-                 w->store->address, (gint64)n->born_ms,
-                 (gint64)w->store->born_ms);
+                 w->store->address, (gint64)n->started_ms,
+                 (gint64)w->store->started_ms);
       schedule_poll (w, RETRY_PAUSE_US, now);
       return;
     }
-  restarted = w->store->born_ms != 0 && n->born_ms > w->store->born_ms;
-  w->store->born_ms = MAX (w->store->born_ms, n->born_ms);
+  restarted
+      = w->store->started_ms != 0 && n->started_ms > w->store->started_ms;
+  w->store->started_ms = MAX (w->store->started_ms, n->started_ms);
   speed_up (w);
   if (w->listing)
     {
@@ -456,7 +457,7 @@
 }
 
 int
-partfeed_waiting (const struct partfeed *f)
+partfeed_pending_calls (const struct partfeed *f)
 {
   const struct watch *w;
   int n = 0;
--- a/partfeed.h
+++ b/partfeed.h
@@ -28,7 +28,8 @@
   enum partfeed_status status; /* outcome of the call */
   bool events_lost; /* events before the first one below were lost */
   int64_t epoch;    /* the store's incarnation */
-  int64_t born_ms;  /* start of that incarnation, Unix time; 0 if not given */
+  int64_t
+      started_ms; /* start of that incarnation, Unix time; 0 if not given */
   int64_t next_event; /* number after the last event */
   int64_t clock_ms;   /* the store's clock, 0 if not given */
   GArray *events;     /* struct partfeed_event */
@@ -76,6 +77,6 @@
 void partfeed_stop (struct partfeed *f);
 void partfeed_free (struct partfeed *f);
 /* Calls in progress. */
-int partfeed_waiting (const struct partfeed *f);
+int partfeed_pending_calls (const struct partfeed *f);
 
 #endif
--- a/parts.h
+++ b/parts.h
@@ -53,7 +53,7 @@
   int64_t transfer_latency_us;       /* added latency of each transfer */
   int64_t epoch;                     /* its incarnation; 0: not known */
   int64_t last_epoch;                /* the last incarnation that was known */
-  int64_t born_ms; /* start of the incarnation, Unix time; 0 if not given */
+  int64_t started_ms; /* start of the incarnation, Unix time; 0 if not given */
   int64_t no_save_until_us; /* nothing is saved before; see SETTLE_US */
   int64_t synced_us;        /* stored was current at that time */
   int64_t next_event;       /* number of its next event */
--- a/regress/test-parts.c
+++ b/regress/test-parts.c
@@ -534,18 +534,18 @@
   partfeed_take_conf (p.feed, c);
   s = parts_find_store (&p.parts, "fast");
   n.events = g_array_new (FALSE, TRUE, sizeof (struct partfeed_event));
-  n.born_ms = 2000;
+  n.started_ms = 2000;
   p.done (p.arg, &n);
   g_assert_cmpint (s->epoch, ==, 8);
   n.epoch = 7;
-  n.born_ms = 1000;
+  n.started_ms = 1000;
   p.done (p.arg, &n);
   g_assert_cmpint (s->epoch, ==, 8);
   p.stop_at_poll = true;
   loop_run (p.loop);
   /* A restart is detected also if the epoch is the same. */
   n.epoch = 8;
-  n.born_ms = 3000;
+  n.started_ms = 3000;
   p.done (p.arg, &n);
   g_assert_cmpint (s->epoch, ==, 0);
   g_array_free (n.events, TRUE);
--- a/srv.c
+++ b/srv.c
@@ -162,7 +162,7 @@
   for (i = 0; i < s->nworkers; i++)
     if (xfer_count (s->workers[i].pool) > (i == 0 ? polls : 0))
       return false;
-  return s->member == NULL || member_waiting (s->member) == 0;
+  return s->member == NULL || member_pending_calls (s->member) == 0;
 }
 
 static void
