--- a/bench/mutants.sh
+++ b/bench/mutants.sh
@@ -19,10 +19,10 @@
 }
 
 mutant "own connection for calls that may not repeat" xfer.c 's/  if (o->new_connection)/  if (false)/'
-mutant "claims" jobclaim.c 's/  return !j->model \&\& j->key != NULL/  return false \&\& j->key != NULL/'
+mutant "claims" jobclaim.c 's/  return !j->is_model \&\& j->idempotency_key != NULL/  return false \&\& j->idempotency_key != NULL/'
 mutant "no second try after the send" out.c 's/  if (!f->idempotent)/  if (false)/'
 mutant "workspace in the scope of prefixes" pfx.c '/  hash_part (&h, workspace);/d'
-mutant "a stream without its end is not whole" attempt.c 's/  if (!end->complete || (j->streaming \&\& !j->strm.ended) || !version_fits (j))/  if (!version_fits (j))/'
+mutant "a stream without its end is not complete" attempt.c '/  if (!end->complete || (j->streaming \&\& !j->strm.ended)$/{N;s/if (!end.*/if (!is_version_expected (j))/}'
 mutant "resume at the token offset" attempt.c 's/extra.resume_offset = j->strm.tokens;/extra.resume_offset = 0;/'
 mutant "a stop waits for running requests" srv.c 's/^  wait_for_jobs (s, limit_s);//'
 mutant "not-run only before the first byte" out.c 's/^    case SEND_PARTIAL:$/    case SEND_PARTIAL: return finish (OUT_NOT_RUN, "x");/'
