--- a/Makefile
+++ b/Makefile
@@ -11,9 +11,9 @@
 # Reading what callers and engines send: pure.
 WIRE = prompt.o strm.o
 SETTINGS = cfg.o cfgval.o settings_gen.o
-SERVER = log.o met.o loop.o xfer.o fetch.o epc.o tabc.o objc.o auth.o refusal.o \
-	hin.o reply.o api.o job.o joblog.o pump.o attempt.o jobclaim.o jobreply.o claims.o \
-	history.o poll.o storec.o kept.o export.o adopt.o conf.o confpost.o member.o \
+SERVER = log.o met.o loop.o xfer.o fetch.o endpointclient.o tableclient.o objectclient.o auth.o refusal.o \
+	httpserver.o reply.o api.o job.o joblog.o jobsched.o attempt.o jobclaim.o jobreply.o claims.o \
+	history.o poll.o storeclient.o kvcache.o kvexport.o applycfg.o conf.o confpost.o member.o \
 	peerrpc.o peerbody.o peerseal.o peer_xdr.o adm.o entry.o state.o listen.o srv.o
 # Requests that are passed on: beliefs of the fleet, and each request's life.
 RELAY = fleet.o pace.o limit.o notice.o cold.o pick.o load.o loadgossip.o loadgossipwire.o sse.o relay.o relaytry.o \
@@ -21,9 +21,9 @@
 	quarwire.o quarfeed.o follow.o \
 	lease.o announce.o orders.o parts.o partfeed.o evac.o
 # The users' platform; translates only.
-PLATFORM = platform/answered.o platform/asked.o platform/decode.o platform/duty.o \
+PLATFORM = platform/replyhead.o platform/reqhead.o platform/decode.o platform/orders.o \
 	platform/engine.o platform/ingress.o platform/json.o platform/kvstore.o platform/notice.o \
-	platform/pieces.o platform/platform.o platform/quarrows.o platform/roster.o platform/rows.o \
+	platform/jsonread.o platform/platform.o platform/quarrows.o platform/roster.o platform/rows.o \
 	platform/store.o
 COMMANDS = main.o ctl.o ctlcall.o ctlconf.o
 
@@ -116,8 +116,8 @@
 		regress/test-units regress/model
 
 # Coverage-guided inputs for all parsers; needs clang.
-FUZZED = prompt.c strm.c peer_xdr.c platform/answered.c platform/asked.c \
-	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/pieces.c \
+FUZZED = prompt.c strm.c peer_xdr.c platform/replyhead.c platform/reqhead.c \
+	platform/decode.c platform/json.c platform/kvstore.c platform/notice.c platform/jsonread.c \
 	platform/rows.c platform/roster.c \
 	platform/quarrows.c quar.c quarwire.c loadgossipwire.c fleet.c pace.c limit.c cold.c sse.c lease.c fetch.c xfer.c stall.c loop.c
 regress/fuzz-input: regress/fuzz-input.c $(FUZZED) wire.h
--- a/conf.c
+++ b/conf.c
@@ -97,9 +97,9 @@
     }
   if (extra != NULL)
     add_overrides (list, extra);
-  cfg = cfg_load_changed (c->server->files[0], c->server->files[1],
-                          (struct cfg_override *)(void *)list->data,
-                          (int)list->len, err);
+  cfg = cfg_load_changed (
+      c->server->settings_files[0], c->server->settings_files[1],
+      (struct cfg_override *)(void *)list->data, (int)list->len, err);
   g_array_free (list, TRUE);
   return cfg;
 }
@@ -110,7 +110,7 @@
 {
   g_autoptr (GError) err = NULL;
   struct cfg *cfg = conf_build (c, NULL, &err);
-  bool good = cfg != NULL && adopt_settings (c->server, cfg);
+  bool good = cfg != NULL && server_apply_cfg (c->server, cfg);
 
   /* The change is accepted everywhere; here it contradicts this VM's own
      overlay, or does not fit.  The settings before stay in force. */
--- a/dir.c
+++ b/dir.c
@@ -3,7 +3,7 @@
  * stores are authoritative, and an import verifies what it receives, so a
  * wrong entry costs time but never causes a wrong answer.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #include <glib.h>
 
--- a/keep.c
+++ b/keep.c
@@ -3,7 +3,7 @@
  * time times the probability of reuse, per byte.  The probability is estimated
  * for each workspace from the gaps after which its prompts returned.
  */
-#include "kept.h"
+#include "kvdecide.h"
 
 #define US_PER_S INT64_C (1000000)
 #define PPM INT64_C (1000000)
--- a/regress/test-wire.c
+++ b/regress/test-wire.c
@@ -1,5 +1,5 @@
 /*
- * Unit tests of what callers and engines send: streams of events and prompts.
+ * Unit tests of the parsers for event streams and completion requests.
  */
 #include <glib.h>
 #include <string.h>
@@ -17,7 +17,8 @@
                           version, i);
 }
 
-/* Whatever the cuts, the same events come out, and none in part. */
+/* However the bytes are split, the same events come out, and only complete
+   ones. */
 static void
 test_stream_cuts (void)
 {
@@ -38,7 +39,7 @@
   for (round = 0; round < 300; round++)
     {
       strm_init (&s, "v1", 10000);
-      strm_attempt (&s, 1);
+      strm_start_attempt (&s, 1);
       g_string_truncate (out, 0);
       for (at = 0; at < whole->len; at += n)
         {
@@ -59,8 +60,8 @@
 }
 
 /*
- * The first attempt broke and a second one took over; then bytes of the first
- * one arrive late.  They carry its number and must not reach the caller.
+ * Bytes of the first attempt arrive after a second one took over.  They carry
+ * the first one's number and must not reach the caller.
  */
 static void
 test_stream_stale (void)
@@ -71,10 +72,10 @@
   struct strm s;
 
   strm_init (&s, "v1", 10000);
-  strm_attempt (&s, 1);
+  strm_start_attempt (&s, 1);
   g_assert_cmpint (strm_feed (&s, 1, e0, strlen (e0), out), ==, STRM_MORE);
   g_assert_cmpint (strm_feed (&s, 1, e1, 10, out), ==, STRM_MORE);
-  strm_attempt (&s, 2);
+  strm_start_attempt (&s, 2);
   g_assert_cmpint (strm_feed (&s, 1, e1 + 10, strlen (e1) - 10, out), ==,
                    STRM_STALE);
   g_assert_cmpint (strm_feed (&s, 2, e1, strlen (e1), out), ==, STRM_MORE);
@@ -85,9 +86,9 @@
 }
 
 static void
-test_stream_bad (void)
+test_stream_invalid (void)
 {
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "event: x\n\n",
     "data: {\n\n",
     "data: [1]\n\n",
@@ -99,18 +100,18 @@
   struct strm s;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       strm_init (&s, "v1", 100);
-      strm_attempt (&s, 1);
-      g_assert_cmpint (strm_feed (&s, 1, bad[i], strlen (bad[i]), out), ==,
-                       STRM_BAD);
+      strm_start_attempt (&s, 1);
+      g_assert_cmpint (strm_feed (&s, 1, invalid[i], strlen (invalid[i]), out),
+                       ==, STRM_INVALID);
       strm_clear (&s);
     }
   strm_init (&s, "v1", 100);
-  strm_attempt (&s, 1);
+  strm_start_attempt (&s, 1);
   g_assert_cmpint (strm_feed (&s, 1, other, strlen (other), out), ==,
-                   STRM_VERSION);
+                   STRM_WRONG_VERSION);
   strm_clear (&s);
   g_assert_cmpint (out->len, ==, 0);
   g_string_free (out, TRUE);
@@ -119,9 +120,9 @@
 /* --- prompts --------------------------------------------------------- */
 
 static void
-test_prompt_faults (void)
+test_prompt_invalid (void)
 {
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "",
     "{",
     "[]",
@@ -138,16 +139,17 @@
   GError *err;
   size_t i;
 
-  for (i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       err = NULL;
-      g_assert_false (prompt_read (bad[i], strlen (bad[i]), false, &p, &err));
+      g_assert_false (
+          prompt_parse (invalid[i], strlen (invalid[i]), false, &p, &err));
       g_assert_nonnull (err);
       g_error_free (err);
     }
 }
 
-/* A caller that sets the system's own fields must not get through with it. */
+/* Reserved fields that a caller sets must not reach the engine. */
 static void
 test_prompt_reserved (void)
 {
@@ -158,8 +160,8 @@
   g_autofree char *text = NULL;
   struct prompt p;
 
-  g_assert_true (prompt_read (body, strlen (body), false, &p, NULL));
-  text = prompt_write (&p, &extra);
+  g_assert_true (prompt_parse (body, strlen (body), false, &p, NULL));
+  text = prompt_to_json (&p, &extra);
   g_assert_null (strstr (text, "other"));
   g_assert_null (strstr (text, "resume"));
   g_assert_nonnull (strstr (text, "\"cache_salt\":\"mine\""));
@@ -167,14 +169,13 @@
   prompt_clear (&p);
 }
 
-/* --- table ----------------------------------------------------------------
- */
+/* --- table ----------------------------------------------------------- */
 
 const struct unit wire_units[] = {
   { "/stream/cuts", test_stream_cuts },
   { "/stream/stale", test_stream_stale },
-  { "/stream/bad", test_stream_bad },
-  { "/prompt/faults", test_prompt_faults },
+  { "/stream/bad", test_stream_invalid },
+  { "/prompt/faults", test_prompt_invalid },
   { "/prompt/reserved", test_prompt_reserved },
   { NULL, NULL },
 };
--- a/relaycrash.c
+++ b/relaycrash.c
@@ -71,7 +71,7 @@
 {
   const struct relaycrash_opts *o = &s->owner->opts;
   int64_t now_ms = o->clock_ms (o->arg, now_us);
-  struct quar_fact f = { .done = false };
+  struct quar_fact f = { .completed = false };
   bool is_new = false;
   int i;
 
@@ -81,7 +81,7 @@
     {
       f.id = s->requests[i].id;
       f.crash.ran_ms = s->requests[i].ran_ms;
-      is_new |= quar_take (o->quar, &f, true);
+      is_new |= quar_add_fact (o->quar, &f, true);
     }
   if (is_new)
     o->on_evidence (o->arg, now_us);
--- a/relaytry.c
+++ b/relaytry.c
@@ -636,15 +636,15 @@
 count_unplaced_reason (enum pick_code code)
 {
   if (code == PICK_COLD)
-    met_add (MET_COLD, 1);
+    met_add (MET_REFUSED_COLD, 1);
   else if (code == PICK_LIMITED)
-    met_add (MET_LIMITED, 1);
+    met_add (MET_REFUSED_LIMITED, 1);
   else if (code == PICK_BACKOFF)
-    met_add (MET_RESTING, 1);
+    met_add (MET_REFUSED_BACKOFF, 1);
   else if (code == PICK_EVACUATED)
-    met_add (MET_EVACUATED, 1);
+    met_add (MET_REFUSED_EVACUATED, 1);
   else if (code == PICK_REGION_NOT_ALLOWED)
-    met_add (MET_ABROAD, 1);
+    met_add (MET_REFUSED_REGION, 1);
 }
 
 void
--- a/srv.c
+++ b/srv.c
@@ -42,9 +42,9 @@
   struct worker *w = arg;
 
   loop_run (w->loop);
-  door_close (w->door);
+  http_listener_close (w->door);
   if (w->index == 0 && w->server->entry != NULL)
-    entry_close_doors (w->server->entry);
+    entry_close_listeners (w->server->entry);
   return NULL;
 }
 
@@ -58,12 +58,12 @@
   w->loop = loop_new ();
   w->pool = xfer_pool_new (w->loop);
   APR_RING_INIT (&w->jobs, job, link);
-  w->sweep.fire = on_sweep;
-  w->sweep.arg = w;
-  epc_ops (&w->endpoints, w->pool);
-  storec_ops (&w->stores, w->pool);
+  w->sweep_timer.fire = on_sweep;
+  w->sweep_timer.arg = w;
+  endpointclient_init (&w->endpoints, w->pool);
+  storeclient_init (&w->stores, w->pool);
   if (p->objects[0] != '\0')
-    objc_ops (&w->objects, w->pool, p->objects, p->timeout_ms);
+    objectclient_init (&w->objects, w->pool, p->objects, p->timeout_ms);
   w->door = api_open (w);
   return w->door != NULL;
 }
@@ -77,7 +77,7 @@
 
   if (p->table[0] == '\0')
     return;
-  tabc_ops (&s->table, s->workers[0].pool, p->table, p->timeout_ms);
+  tableclient_init (&s->table, s->workers[0].pool, p->table, p->timeout_ms);
   o.table = s->table;
   o.batch = (int)p->claim_batch;
   o.linger_us = p->claim_linger_ms * CQ_US_PER_MS;
@@ -104,7 +104,7 @@
 free_worker (struct worker *w)
 {
   xfer_pool_free (w->pool);
-  objc_clear (&w->objects);
+  objectclient_clear (&w->objects);
   loop_free (w->loop);
 }
 
@@ -131,7 +131,7 @@
   struct server *s = arg;
 
   if (s->entry != NULL)
-    entry_leave (s->entry);
+    entry_prepare_stop (s->entry);
   if (s->member != NULL)
     member_say (s->member, s->conf ? conf_revision (s->conf) : 0);
 }
@@ -145,7 +145,7 @@
   if (s->entry != NULL)
     entry_stop (s->entry);
   poller_stop (s->poller);
-  kept_stop (s->kept);
+  kvcache_stop (s->kvcache);
   if (s->conf != NULL)
     conf_stop (s->conf);
   if (s->member != NULL)
@@ -157,12 +157,12 @@
 {
   int i;
 
-  int polls = entry_waiting (s->entry);
+  int polls = entry_pending_calls (s->entry);
 
   for (i = 0; i < s->nworkers; i++)
     if (xfer_count (s->workers[i].pool) > (i == 0 ? polls : 0))
       return false;
-  return s->member == NULL || member_waiting (s->member) == 0;
+  return s->member == NULL || member_pending_calls (s->member) == 0;
 }
 
 static void
@@ -170,7 +170,7 @@
 {
   int64_t until = loop_now_us () + limit_s * CQ_US_PER_S;
 
-  while (__atomic_load_n (&s->live, __ATOMIC_RELAXED) > 0
+  while (__atomic_load_n (&s->live_jobs, __ATOMIC_RELAXED) > 0
          && loop_now_us () < until)
     sleep_ms (STOP_POLL_MS);
 }
@@ -191,9 +191,9 @@
 
   for (i = 0; i < s->nworkers; i++)
     {
-      s->workers[i].stop.run = on_stop;
-      s->workers[i].stop.arg = &s->workers[i];
-      loop_post (s->workers[i].loop, &s->workers[i].stop);
+      s->workers[i].stop_msg.run = on_stop;
+      s->workers[i].stop_msg.arg = &s->workers[i];
+      loop_post (s->workers[i].loop, &s->workers[i].stop_msg);
     }
   for (i = 0; i < s->nworkers; i++)
     g_thread_join (s->workers[i].thread);
@@ -239,7 +239,8 @@
 check_files (struct server *s)
 {
   g_autoptr (GError) err = NULL;
-  struct cfg *cfg = cfg_load (s->files[0], s->files[1], &err);
+  struct cfg *cfg
+      = cfg_load (s->settings_files[0], s->settings_files[1], &err);
 
   if (cfg == NULL)
     log_event (LOG_LEVEL_ERROR, "reload", "outcome=faulty error=\"%s\"",
@@ -281,7 +282,7 @@
 
   for (i = 0; i < SETTINGS_FILES; i++)
     {
-      struct file_stamp f = stamp_of (s->files[i]);
+      struct file_stamp f = stamp_of (s->settings_files[i]);
 
       changed |= f.inode != stamps[i].inode || f.size != stamps[i].size
                  || f.written.tv_sec != stamps[i].written.tv_sec
@@ -331,7 +332,7 @@
 
   g_mutex_init (&s->lim_lock);
   g_mutex_init (&s->route_lock);
-  adopt_settings (s, s->cfg);
+  server_apply_cfg (s, s->cfg);
   s->nworkers = (int)cfg_vm (server_cfg (s))->workers;
   s->listen_fd = server_listen (s, cfg_vm (server_cfg (s))->listen);
   if (s->listen_fd < 0)
@@ -346,7 +347,7 @@
   if (s->conf != NULL)
     conf_start (s->conf);
   s->poller = poller_new (s, &s->workers[0]);
-  kept_start (s->kept, &s->workers[0]);
+  kvcache_start (s->kvcache, &s->workers[0]);
   for (i = 0; i < s->nworkers; i++)
     s->workers[i].thread = g_thread_new ("worker", run_worker, &s->workers[i]);
   return true;
@@ -365,11 +366,11 @@
   conf_free (s->conf);
   poller_free (s->poller);
   claims_free (s->claims);
-  adopt_free (s);
+  server_free_tables (s);
   for (i = 0; i < s->nworkers; i++)
     free_worker (&s->workers[i]);
   g_free (s->workers);
-  tabc_clear (&s->table);
+  tableclient_clear (&s->table);
   g_mutex_clear (&s->lim_lock);
   g_mutex_clear (&s->route_lock);
   close (s->listen_fd);
@@ -391,8 +392,8 @@
   struct server s = { .cfg = cfg, .started_us = loop_now_us () };
   const struct cfg_vm *vm = cfg_vm (cfg);
 
-  s.files[0] = base;
-  s.files[1] = overlay;
+  s.settings_files[0] = base;
+  s.settings_files[1] = overlay;
   log_open (vm->name, vm->domain, (enum log_level)vm->log_level,
             (int)vm->log_lines_s);
   block_signals ();
